--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -81,21 +81,26 @@
 	return balancer.Upstream{ID: id, Service: "desk", Address: "10.1.0." + id + ":80", DataCentre: dataCentre, Slots: 8, Born: 1, Leaving: leaving}
 }
 
-// beat writes the entry of an upstream until it leaves.
+// beat writes the entry of an upstream until it leaves. It looks and writes under one lock,
+// so that the leave is the upstream's last entry also where both fall on one instant.
 func (r *restored) beat(ctx context.Context, id, dataCentre string, after time.Duration) {
 	time.Sleep(after)
-	for ctx.Err() == nil {
-		r.mu.Lock()
-		_, left := r.left[id]
-		r.mu.Unlock()
-		if left {
-			return
-		}
-		r.store.List(r.entry(id, dataCentre, false))
+	for ctx.Err() == nil && r.listUnlessLeft(id, dataCentre) {
 		time.Sleep(heartbeat)
 	}
 }
 
+// listUnlessLeft writes the ready entry of an upstream; it reports false for one that left.
+func (r *restored) listUnlessLeft(id, dataCentre string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, left := r.left[id]; left {
+		return false
+	}
+	r.store.List(r.entry(id, dataCentre, false))
+	return true
+}
+
 // leave has an upstream say that it leaves.
 func (r *restored) leave(id, dataCentre string) {
 	r.mu.Lock()
