--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// fleetOf declares n engines in eight data centres, with four ranges of layers.
-func fleetOf(n int) *builder.Configuration {
+// newConfiguration declares n engines in eight data centres, each with one of four layer ranges.
+func newConfiguration(n int) *builder.Configuration {
 	cfg := &builder.Configuration{
 		Models:       []builder.Model{{Name: "m", Version: "1", Layers: layers}},
 		Accelerators: []builder.Accelerator{{Name: "k", StepMs: 1, LayerMs: 0.05, Batch: 16}},
@@ -28,19 +28,19 @@
 	return cfg
 }
 
-func trackerOf(n int) *tracker.Tracker {
+func newTracker(n int) *tracker.Tracker {
 	t := &tracker.Tracker{
 		Policy: picker.Cheapest{Steepness: 1, Spread: 0.1, PreferredCost: 0.7}, Rand: rand.New(rand.NewPCG(1, 1)),
 		Host: "h", Sharers: func() int { return 4 },
 	}
-	t.Configure(fleetOf(n))
+	t.Configure(newConfiguration(n))
 	return t
 }
 
-// BenchmarkRoute measures one choice of a route among n upstreams.
+// BenchmarkRoute measures choosing and releasing one route among n upstreams.
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{8, 40, 100, 1000, 10000} {
-		t := trackerOf(n)
+		t := newTracker(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			now := time.Now()
@@ -57,18 +57,18 @@
 	}
 }
 
-// BenchmarkConfigure measures taking in a configuration of n upstreams: its
-// time from text to force on a host, its bytes, and what stays in memory of it.
+// BenchmarkConfigure measures decoding a configuration of n upstreams and putting it into force in
+// a tracker: the time, the size of the text, and the heap that it keeps.
 func BenchmarkConfigure(b *testing.B) {
 	for _, n := range []int{40, 1000, 10000} {
-		src, err := builder.Canonical(fleetOf(n))
+		src, err := builder.Canonical(newConfiguration(n))
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var t *tracker.Tracker
 			var cfg *builder.Configuration
-			before := heap()
+			before := heapBytes()
 			for b.Loop() {
 				if cfg, err = builder.Decode(src); err != nil {
 					b.Fatal(err)
@@ -76,7 +76,7 @@
 				t = &tracker.Tracker{Host: "h"}
 				t.Configure(cfg)
 			}
-			b.ReportMetric(float64(heap()-before)/float64(n), "heapB/upstream")
+			b.ReportMetric(float64(heapBytes()-before)/float64(n), "heapB/upstream")
 			b.ReportMetric(float64(len(src)), "textB")
 			runtime.KeepAlive(t)
 			runtime.KeepAlive(cfg)
@@ -84,18 +84,18 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkBound measures the throughput bound over n upstreams of one kind in
-// eight data centres.
+// BenchmarkBound measures computing the throughput bound over n upstreams of one kind in eight
+// data centres.
 func BenchmarkBound(b *testing.B) {
 	for _, n := range []int{8, 100, 1000, 10000} {
-		t := trackerOf(n)
+		t := newTracker(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := t.Bound(time.Now(), pipeline, true); err != nil {
--- a/router/decisions_test.go
+++ b/router/decisions_test.go
@@ -12,20 +12,20 @@
 	"github.com/sardineward/sardineward/faker"
 )
 
-// measure runs the whole tables of docs/MEASUREMENTS.md; without it a few rows
-// are run, and what must hold of them is checked either way.
+// measure runs every row of the tables in docs/MEASUREMENTS.md; without it only a few rows run. The
+// assertions are the same either way.
 var measure = flag.Bool("measure", false, "run the whole tables of docs/MEASUREMENTS.md")
 
-func standard(load float64) experiment {
-	e := experiment{policy: policies[len(policies)-1].make, load: load, admit: true, seed: 1, warm: 4 * time.Second, length: 8 * time.Second}
+func defaultExperiment(load float64) experiment {
+	e := experiment{policy: policies[len(policies)-1].make, load: load, limitAdmission: true, seed: 1, warmUp: 4 * time.Second, length: 8 * time.Second}
 	if !*measure {
-		e.warm, e.length = 3*time.Second, 3*time.Second
+		e.warmUp, e.length = 3*time.Second, 3*time.Second
 	}
 	return e
 }
 
-// show prints a table where a person asked for it.
-func show(t *testing.T, table string) {
+// printTable prints a table to standard output with -measure, and to the test log otherwise.
+func printTable(t *testing.T, table string) {
 	t.Helper()
 	if *measure {
 		fmt.Print(table)
@@ -34,7 +34,8 @@
 	t.Log("\n" + table)
 }
 
-// TestPolicies runs each policy for routes at several loads.
+// TestPolicies runs each routing policy at several loads. Cheapest must serve at least 0.9 of the
+// bound with a p95 token gap of at most 60 ms; without admission control less than half is on time.
 func TestPolicies(t *testing.T) {
 	loads, rows := []float64{0.5, 0.8, 0.95, 1.2, 2}, policies
 	if !*measure {
@@ -42,43 +43,43 @@
 	}
 	var out strings.Builder
 	out.WriteString(header)
-	ratios, late := make(map[string]float64), make(map[string]time.Duration)
+	ratios, p95Gap := make(map[string]float64), make(map[string]time.Duration)
 	for _, p := range rows {
 		for _, load := range loads {
-			e := standard(load)
+			e := defaultExperiment(load)
 			e.policy = p.make
 			x := e.run(t)
 			ratios[p.name] = x.ratio()
-			late[p.name] = time.Duration(x.gap.ValueAtQuantile(95)) * time.Microsecond
+			p95Gap[p.name] = time.Duration(x.tokenGap.ValueAtQuantile(95)) * time.Microsecond
 			out.WriteString(x.row(p.name))
 		}
 	}
-	e := standard(2)
-	e.admit = false
+	e := defaultExperiment(2)
+	e.limitAdmission = false
 	x := e.run(t)
 	out.WriteString(x.row("cheapest, no admission"))
-	show(t, out.String())
+	printTable(t, out.String())
 	is := is.New(t)
 	is.True(ratios["cheapest"] >= 0.9)
 	is.True(ratios["cheapest"] >= ratios["random"])
-	is.True(late["cheapest"] <= 60*time.Millisecond)
+	is.True(p95Gap["cheapest"] <= 60*time.Millisecond)
 	is.True(x.ratio() < 0.5)
 }
 
-// TestPriority offers twice the bound, a tenth of it with a higher priority,
-// which must be served as if the rest weren't there.
+// TestPriority offers twice the bound, a tenth of it with a higher priority. The higher tenth must
+// be served as if there were no other load.
 func TestPriority(t *testing.T) {
-	e := standard(2)
-	e.high = 0.1
+	e := defaultExperiment(2)
+	e.highPriorityFraction = 0.1
 	x := e.run(t)
-	p95 := time.Duration(x.highFirst.ValueAtQuantile(95)) * time.Microsecond
-	show(t, fmt.Sprintf("| first token of the higher tenth at twice the bound, p50/p95 ms | %d / %d |\n", x.highFirst.ValueAtQuantile(50)/1000, p95.Milliseconds()))
+	p95 := time.Duration(x.highFirstToken.ValueAtQuantile(95)) * time.Microsecond
+	printTable(t, fmt.Sprintf("| first token of the higher tenth at twice the bound, p50/p95 ms | %d / %d |\n", x.highFirstToken.ValueAtQuantile(50)/1000, p95.Milliseconds()))
 	is.New(t).True(p95 <= 600*time.Millisecond)
 }
 
-// TestSkew sends all callers to one of four hosts, which then must use what the
-// others leave.
-func TestSkew(t *testing.T) {
+// TestSkewedCallers sends all callers to one of four hosts, which must then use the capacity that
+// the other hosts leave unused.
+func TestSkewedCallers(t *testing.T) {
 	var out strings.Builder
 	out.WriteString(header)
 	hosts := []int{4, 2, 1}
@@ -86,30 +87,30 @@
 		hosts = hosts[2:]
 	}
 	for _, n := range hosts {
-		e := standard(1.2)
+		e := defaultExperiment(1.2)
 		e.hosts = n
 		x := e.run(t)
 		out.WriteString(x.row(fmt.Sprintf("cheapest, callers at %d of 4 hosts", n)))
 		is.New(t).True(x.ratio() >= 0.7)
 	}
-	show(t, out.String())
+	printTable(t, out.String())
 }
 
-// harms are the failures that recovery is measured from.
-var harms = []struct {
-	name string
-	harm func(x *result)
+// failures lists the failures that TestRecovery injects. The names are rows of docs/MEASUREMENTS.md.
+var failures = []struct {
+	name   string
+	inject func(x *result)
 }{
 	{"an upstream killed", func(x *result) { x.fleet.Engine("k1-0-15-1").Kill() }},
 	{"an upstream paused", func(x *result) { x.fleet.Engine("k1-0-15-1").Pause() }},
 	{"a link 100 times slower", func(x *result) { x.fleet.SlowLink("a", "b", 10*time.Millisecond) }},
-	{"one of four entry hosts lost", func(x *result) { x.lose(x.hosts[1]) }},
-	{"a data centre lost", func(x *result) { x.each("b", (*faker.Engine).Kill) }},
-	{"a data centre back", func(x *result) { x.each("b", (*faker.Engine).Restart); x.probeAll() }},
+	{"one of four entry hosts lost", func(x *result) { x.loseHost(x.hosts[1]) }},
+	{"a data centre lost", func(x *result) { x.eachEngine("b", (*faker.Engine).Kill) }},
+	{"a data centre back", func(x *result) { x.eachEngine("b", (*faker.Engine).Restart); x.probeAll() }},
 }
 
-// each does something to all engines of a data centre.
-func (x *result) each(dc string, do func(*faker.Engine)) {
+// eachEngine calls do for every engine of a data centre.
+func (x *result) eachEngine(dc string, do func(*faker.Engine)) {
 	for _, e := range x.fleet.Engines() {
 		if e.Upstream.DataCentre == dc {
 			do(e)
@@ -117,71 +118,72 @@
 	}
 }
 
-// probeAll is what the probers of a data centre find within a period.
+// probeAll reports every engine as answering to every host, as probers do within one period.
 func (x *result) probeAll() {
 	for _, h := range x.hosts {
 		for _, e := range x.fleet.Engines() {
-			h.track.Report(time.Now(), e.Upstream.Name, e.Load())
-			h.track.Good(time.Now(), e.Upstream.Name)
+			h.tracker.Report(time.Now(), e.Upstream.Name, e.Load())
+			h.tracker.Good(time.Now(), e.Upstream.Name)
 		}
 	}
 }
 
-// lose ends an entry host: its streams break, and callers go to the others.
-func (x *result) lose(h *entry) {
+// loseHost stops an entry host: its streams break, and callers go to the other hosts.
+func (x *result) loseHost(h *entryHost) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	h.dead = true
 }
 
-// TestRecovery measures, from each failure, how long tokens a second take to
-// come back to within 5% of what was offered, or of the new bound.
+// TestRecovery measures how long after each failure the tokens per second are back within 5% of the
+// offered load, or of the remaining bound where that is lower.
 func TestRecovery(t *testing.T) {
-	rows := harms
+	rows := failures
 	if !*measure {
-		rows = harms[:1]
+		rows = failures[:1]
 	}
 	var out strings.Builder
 	out.WriteString("| failure | back within 5% after ms | lowest second | longest gap ms | lost | retries |\n|---|---|---|---|---|---|\n")
 	for _, row := range rows {
-		e := standard(0.7)
-		e.during = func(x *result) {
-			x.gap.Reset()
-			row.harm(x)
+		e := defaultExperiment(0.7)
+		e.afterWarmUp = func(x *result) {
+			x.tokenGap.Reset()
+			row.inject(x)
 		}
 		if row.name == "a data centre back" {
-			e.before = func(x *result) { x.each("b", (*faker.Engine).Kill) }
+			e.atStart = func(x *result) { x.eachEngine("b", (*faker.Engine).Kill) }
 		}
 		x := e.run(t)
-		after, lowest := x.recovery()
-		fmt.Fprintf(&out, "| %s | %d | %.2f | %d | %d of %d | %d |\n", row.name, after.Milliseconds(), lowest, x.gap.Max()/1000, x.lost, x.asked, x.again)
+		after, lowest := x.recoveryTime()
+		fmt.Fprintf(&out, "| %s | %d | %.2f | %d | %d of %d | %d |\n", row.name, after.Milliseconds(), lowest, x.tokenGap.Max()/1000, x.lost, x.requests, x.retries)
 		is.New(t).True(after < 4*time.Second)
 	}
-	show(t, out.String())
+	printTable(t, out.String())
 }
 
-// recovery slides a second over the tokens after the failure.
-func (x *result) recovery() (after time.Duration, lowest float64) {
-	const second = int(time.Second / bucketSize)
-	begin := int(x.warm / bucketSize)
-	up, err := x.hosts[0].track.Bound(time.Now(), pipeline, false)
-	want := min(x.load*x.bound, up/work())
+// recoveryTime moves a window of one second over the tokens after the failure. after is the time
+// until the rate stays within 5% of the expected rate, lowest the lowest fraction of it seen.
+func (x *result) recoveryTime() (after time.Duration, lowest float64) {
+	const second = int(time.Second / bucketDuration)
+	begin := int(x.warmUp / bucketDuration)
+	available, err := x.hosts[0].tracker.Bound(time.Now(), pipeline, false)
+	want := min(x.load*x.bound, available/iterationsPerToken())
 	if err != nil || want == 0 {
 		return 0, 0
 	}
 	lowest = 1
 	after = -1
-	for i := begin; i+second <= len(x.buckets) && i < begin+int(x.length/bucketSize)-second; i++ {
+	for i := begin; i+second <= len(x.buckets) && i < begin+int(x.length/bucketDuration)-second; i++ {
 		sum := 0
 		for _, n := range x.buckets[i : i+second] {
 			sum += n
 		}
-		part := float64(sum) / want
-		lowest = min(lowest, part)
-		if part >= 0.95 && after < 0 {
-			after = time.Duration(i-begin) * bucketSize
+		fraction := float64(sum) / want
+		lowest = min(lowest, fraction)
+		if fraction >= 0.95 && after < 0 {
+			after = time.Duration(i-begin) * bucketDuration
 		}
-		if part < 0.95 && after >= 0 && time.Duration(i-begin)*bucketSize < 2*time.Second {
+		if fraction < 0.95 && after >= 0 && time.Duration(i-begin)*bucketDuration < 2*time.Second {
 			after = -1
 		}
 	}
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -31,10 +31,10 @@
 	layers     = 32
 )
 
-// mixed is 40 runners of six kinds, the fastest ten times the slowest, with
-// layer ranges that overlap, in three data centres on links that differ a
-// hundredfold.
-func mixed() *builder.Configuration {
+// mixedConfiguration declares 40 engines of six kinds with overlapping layer ranges, in three data
+// centres. The fastest kind is ten times as fast as the slowest, and link latencies differ by a
+// factor of 100.
+func mixedConfiguration() *builder.Configuration {
 	cfg := &builder.Configuration{
 		Models: []builder.Model{{Name: "m", Version: "1", Layers: layers}},
 		Accelerators: []builder.Accelerator{
@@ -81,136 +81,138 @@
 // experiment is one run of a policy under an offered load.
 type experiment struct {
 	policy func() picker.Policy
-	// load is offered tokens over the bound.
+	// load is the offered tokens divided by the throughput bound.
 	load float64
-	// admit is false to let everything in at once.
-	admit bool
-	seed  uint64
-	// length is how long requests arrive; warm is left out of the figures.
-	length, warm time.Duration
-	// before is called at the start, during once the warm-up is over.
-	before func(x *result)
-	during func(x *result)
-	// high is the part of requests that have a higher priority.
-	high float64
+	// limitAdmission is false to admit every request at once.
+	limitAdmission bool
+	seed           uint64
+	// Requests arrive for warmUp and then length; the figures leave out those sent in warmUp.
+	length, warmUp time.Duration
+	// atStart is called before the first request, afterWarmUp when the warm-up is over.
+	atStart     func(x *result)
+	afterWarmUp func(x *result)
+	// highPriorityFraction is the fraction of requests that have a higher priority.
+	highPriorityFraction float64
 	// hosts is how many entry hosts callers use; 0 means all.
 	hosts int
 }
 
-// result is what came of it.
+// result holds the figures of an experiment, and its fleet and hosts while it runs.
 type result struct {
 	experiment
-	fleet   *faker.Fleet
-	hosts   []*entry
-	bound   float64
-	onTime  int
-	asked   int
-	refused int
-	late    int
-	lost    int
-	again   int
-	first   *hdrhistogram.Histogram
-	gap     *hdrhistogram.Histogram
-	// highFirst is first of requests with high priority.
-	highFirst *hdrhistogram.Histogram
-	served    map[string]float64
-	wanted    map[string]float64
-	// buckets are tokens on time in each 100 ms from the start.
+	fleet        *faker.Fleet
+	hosts        []*entryHost
+	bound        float64
+	onTimeTokens int
+	requests     int
+	refused      int
+	// late counts answers after their deadline, lost those that broke off once started.
+	late       int
+	lost       int
+	retries    int
+	firstToken *hdrhistogram.Histogram
+	tokenGap   *hdrhistogram.Histogram
+	// highFirstToken is firstToken of the requests with the higher priority only.
+	highFirstToken  *hdrhistogram.Histogram
+	servedTokens    map[string]float64
+	requestedTokens map[string]float64
+	// buckets counts the tokens of each 100 ms from the start.
 	buckets []int
 	start   time.Time
 	mu      sync.Mutex
 }
 
-// entry is the decisions of one host.
-type entry struct {
-	router *router.Router
-	stream *streamer.Streamer
-	track  *tracker.Tracker
-	dead   bool
+// entryHost holds the packages of one entry host that decide on requests.
+type entryHost struct {
+	router   *router.Router
+	streamer *streamer.Streamer
+	tracker  *tracker.Tracker
+	dead     bool
 }
 
-// quiet is News of hosts that don't hear each other, but probe what they doubt.
-type quiet struct {
-	t     *testing.T
-	track *tracker.Tracker
-	fleet *faker.Fleet
+// probeOnlyAnnouncer implements router.News for hosts that exchange no announcements but do probe
+// upstreams.
+type probeOnlyAnnouncer struct {
+	t       *testing.T
+	tracker *tracker.Tracker
+	fleet   *faker.Fleet
 }
 
-func (quiet) Leaving(string, int64)    {}
-func (quiet) Down(string, int64, bool) {}
-func (quiet) Strike(tracker.Strike)    {}
+func (probeOnlyAnnouncer) Leaving(string, int64)    {}
+func (probeOnlyAnnouncer) Down(string, int64, bool) {}
+func (probeOnlyAnnouncer) Strike(tracker.Strike)    {}
 
-// Doubt probes after the time that a probe takes.
-func (q quiet) Doubt(names []string) {
+// Doubt applies the result of a probe to the tracker after the time that a probe takes.
+func (q probeOnlyAnnouncer) Doubt(names []string) {
 	for _, n := range names {
 		go func() {
-			const probe = 50 * time.Millisecond
-			time.Sleep(probe)
+			const probeTime = 50 * time.Millisecond
+			time.Sleep(probeTime)
 			e := q.fleet.Engine(n)
 			switch {
 			case e.Dead():
-				q.track.Bad(time.Now(), n, true)
+				q.tracker.Bad(time.Now(), n, true)
 			case e.Paused():
 				time.Sleep(time.Second)
-				q.track.Bad(time.Now(), n, false)
+				q.tracker.Bad(time.Now(), n, false)
 			}
 		}()
 	}
 }
 
-// Ask takes as long as a probe that is answered, or given up on.
-func (q quiet) Ask(_ context.Context, names []string) string {
-	const probe, patience = 2 * time.Millisecond, 100 * time.Millisecond
-	time.Sleep(probe)
+// Ask takes as long as a probe that is answered or times out.
+func (q probeOnlyAnnouncer) Ask(_ context.Context, names []string) string {
+	const probeTime, probeTimeout = 2 * time.Millisecond, 100 * time.Millisecond
+	time.Sleep(probeTime)
 	for _, n := range names {
 		if e := q.fleet.Engine(n); e.Dead() || e.Paused() {
-			time.Sleep(patience)
+			time.Sleep(probeTimeout)
 			return n
 		}
 	}
 	return ""
 }
 
-func newEntry(t *testing.T, x *result, i int, cfg *builder.Configuration) *entry {
+func newEntryHost(t *testing.T, x *result, i int, cfg *builder.Configuration) *entryHost {
 	track := &tracker.Tracker{
 		Policy: x.policy(), Rand: rand.New(rand.NewPCG(x.seed, uint64(i)+100)),
 		Host: fmt.Sprint("h", i), Sharers: func() int { return entryHosts },
 	}
 	track.Configure(cfg)
-	if !x.admit {
+	if !x.limitAdmission {
 		track.Unlimited = true
 	}
 	check := &checker.Checker{Fail: func(v checker.Violation) { t.Error(v) }}
 	r := &router.Router{
 		DataCentre: string("abc"[i%3]), Tracker: track, Suspects: new(tracker.Suspects),
 		Admitter: &admitter.Admitter[picker.Route]{Queued: 1 << 20}, Limits: new(admitter.Limits),
-		Budget: &admitter.Budget{Ratio: 0.1, Burst: 20}, News: quiet{t, track, x.fleet},
+		Budget: &admitter.Budget{Ratio: 0.1, Burst: 20}, News: probeOnlyAnnouncer{t, track, x.fleet},
 		Meter: meter.New(nil, nil), Checker: check,
 	}
-	return &entry{
-		router: r, track: track,
-		stream: &streamer.Streamer{Engine: x.fleet, Router: r, Checker: check, StallFloor: 100 * time.Millisecond},
+	return &entryHost{
+		router: r, tracker: track,
+		streamer: &streamer.Streamer{Engine: x.fleet, Router: r, Checker: check, StallFloor: 100 * time.Millisecond},
 	}
 }
 
-// run makes the experiment in virtual time.
+// run runs the experiment in virtual time.
 func (e experiment) run(t *testing.T) *result {
 	x := &result{
-		experiment: e, first: histogram(), gap: histogram(), highFirst: histogram(),
-		served: make(map[string]float64), wanted: make(map[string]float64),
+		experiment: e, firstToken: histogram(), tokenGap: histogram(), highFirstToken: histogram(),
+		servedTokens: make(map[string]float64), requestedTokens: make(map[string]float64),
 	}
 	t.Run("run", func(t *testing.T) {
-		synctest.Test(t, func(t *testing.T) { x.play(t) })
+		synctest.Test(t, func(t *testing.T) { x.simulate(t) })
 	})
 	return x
 }
 
-func hash(s string) uint64 { return xxhash.Sum64String(s) }
+func prefixHash(s string) uint64 { return xxhash.Sum64String(s) }
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-func (x *result) play(t *testing.T) {
-	cfg := mixed()
+func (x *result) simulate(t *testing.T) {
+	cfg := mixedConfiguration()
 	x.fleet = faker.NewFleet(cfg)
 	x.fleet.Lag = time.Second
 	defer x.fleet.Close()
@@ -219,33 +221,34 @@
 		n = entryHosts
 	}
 	for i := range entryHosts {
-		x.hosts = append(x.hosts, newEntry(t, x, i, cfg))
+		x.hosts = append(x.hosts, newEntryHost(t, x, i, cfg))
 	}
-	x.bound, _ = x.hosts[0].track.Bound(time.Now(), pipeline, true)
-	x.bound /= work()
+	x.bound, _ = x.hosts[0].tracker.Bound(time.Now(), pipeline, true)
+	x.bound /= iterationsPerToken()
 	x.start = time.Now()
-	if x.before != nil {
-		x.before(x)
+	if x.atStart != nil {
+		x.atStart(x)
 	}
 	rnd := rand.New(rand.NewPCG(x.seed, 7))
 	rate := x.load * x.bound / meanTokens
 	var wg sync.WaitGroup
-	told := false
-	for k := 0; time.Since(x.start) < x.warm+x.length; k++ {
+	triggered := false
+	for k := 0; time.Since(x.start) < x.warmUp+x.length; k++ {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)))
-		if x.during != nil && !told && time.Since(x.start) >= x.warm {
-			told = true
-			x.during(x)
+		if x.afterWarmUp != nil && !triggered && time.Since(x.start) >= x.warmUp {
+			triggered = true
+			x.afterWarmUp(x)
 		}
-		job, host := x.job(rnd, k), x.live(x.hosts[rnd.IntN(n)], rnd)
-		wg.Go(func() { x.request(host, job) })
+		job, host := x.newJob(rnd, k), x.liveHost(x.hosts[rnd.IntN(n)], rnd)
+		wg.Go(func() { x.runJob(host, job) })
 	}
 	wg.Wait()
 	time.Sleep(5 * time.Second)
 }
 
-// live is a host, or another when it is lost: the balancer sends callers there.
-func (x *result) live(h *entry, rnd *rand.Rand) *entry {
+// liveHost returns h, or a random host that is up when h is dead, as a load balancer in front of
+// the entry hosts does.
+func (x *result) liveHost(h *entryHost, rnd *rand.Rand) *entryHost {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for h.dead {
@@ -254,53 +257,55 @@
 	return h
 }
 
+// The mix of requests; the lengths of prompts are in bytes.
 const (
-	meanTokens  = 40
-	longPart    = 0.2
-	shortPrompt = 300
-	longPrompt  = 2400
+	meanTokens         = 40
+	longPromptFraction = 0.2
+	shortPrompt        = 300
+	longPrompt         = 2400
 )
 
-// work is the iterations' worth of a token of the mix, its prompt uncached.
-func work() float64 {
+// iterationsPerToken is the mean cost of a generated token, in iterations, with its share of an
+// uncached prompt.
+func iterationsPerToken() float64 {
 	const promptWeight = 64
-	prompt := (1-longPart)*shortPrompt + longPart*longPrompt
+	prompt := (1-longPromptFraction)*shortPrompt + longPromptFraction*longPrompt
 	return 1 + prompt/promptWeight/meanTokens
 }
 
-// job draws a request: of ten workspaces two are large, a fifth of prompts is
-// long, and half of them share one of thirty beginnings.
-func (x *result) job(rnd *rand.Rand, k int) *streamer.Job {
+// newJob draws a request at random. Two of the ten workspaces are large, a fifth of the prompts are
+// long, and half of the prompts start with one of thirty shared prefixes.
+func (x *result) newJob(rnd *rand.Rand, k int) *streamer.Job {
 	w := rnd.IntN(16)
 	if w >= 10 {
 		w %= 2
 	}
 	size := shortPrompt
-	if rnd.Float64() < longPart {
+	if rnd.Float64() < longPromptFraction {
 		size = longPrompt
 	}
-	begin := fmt.Sprintf("%d ", k)
+	prefix := fmt.Sprintf("%d ", k)
 	if rnd.IntN(2) == 0 {
-		begin = fmt.Sprintf("shared %d ", rnd.IntN(30))
+		prefix = fmt.Sprintf("shared %d ", rnd.IntN(30))
 	}
-	prompt := strings.Repeat(begin, size/len(begin)+1)[:size]
+	prompt := strings.Repeat(prefix, size/len(prefix)+1)[:size]
 	job := &streamer.Job{
 		ID: fmt.Sprint("r", k), Pipeline: pipeline, Model: "m", Version: "1", Layers: layers,
 		Workspace: fmt.Sprint("w", w), Priority: 5, Prompt: prompt, MaxTokens: 10 + rnd.IntN(2*(meanTokens-10)+1),
-		Fingerprint: rnd.Uint64(), Prefix: hash(prompt[:256]),
+		Fingerprint: rnd.Uint64(), Prefix: prefixHash(prompt[:256]),
 	}
-	if rnd.Float64() < x.high {
+	if rnd.Float64() < x.highPriorityFraction {
 		job.Priority = 8
 	}
 	job.Deadline = time.Now().Add(time.Second + time.Duration(job.MaxTokens)*60*time.Millisecond)
 	return job
 }
 
-func (x *result) request(host *entry, job *streamer.Job) {
-	counts := time.Since(x.start) >= x.warm
-	begun := time.Now()
-	var firstAt, last time.Time
-	res, err := host.stream.Run(context.Background(), job, func(string, bool) error {
+func (x *result) runJob(host *entryHost, job *streamer.Job) {
+	measured := time.Since(x.start) >= x.warmUp
+	sentAt := time.Now()
+	var firstAt, lastAt time.Time
+	res, err := host.streamer.Run(context.Background(), job, func(string, bool) error {
 		now := time.Now()
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -309,31 +314,31 @@
 		}
 		if firstAt.IsZero() {
 			firstAt = now
-			if counts {
-				x.record(job, now.Sub(begun))
+			if measured {
+				x.recordFirstToken(job, now.Sub(sentAt))
 			}
-		} else if counts {
-			_ = x.gap.RecordValue(now.Sub(last).Microseconds())
+		} else if measured {
+			_ = x.tokenGap.RecordValue(now.Sub(lastAt).Microseconds())
 		}
-		last = now
-		x.bucket(now)
+		lastAt = now
+		x.countToken(now)
 		return nil
 	})
 	if err == nil {
-		host.router.Answered(job, res.Tokens, last.Sub(firstAt))
+		host.router.Answered(job, res.Tokens, lastAt.Sub(firstAt))
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.again += max(0, res.Attempts-1)
-	if !counts {
+	x.retries += max(0, res.Attempts-1)
+	if !measured {
 		return
 	}
-	x.asked++
-	x.wanted[job.Workspace] += float64(job.MaxTokens)
+	x.requests++
+	x.requestedTokens[job.Workspace] += float64(job.MaxTokens)
 	switch {
 	case err == nil && !time.Now().After(job.Deadline):
-		x.onTime += res.Tokens
-		x.served[job.Workspace] += float64(res.Tokens)
+		x.onTimeTokens += res.Tokens
+		x.servedTokens[job.Workspace] += float64(res.Tokens)
 	case err == nil:
 		x.late++
 	case !res.Started:
@@ -343,39 +348,38 @@
 	}
 }
 
-func (x *result) record(job *streamer.Job, d time.Duration) {
-	_ = x.first.RecordValue(d.Microseconds())
+func (x *result) recordFirstToken(job *streamer.Job, d time.Duration) {
+	_ = x.firstToken.RecordValue(d.Microseconds())
 	if job.Priority > 5 {
-		_ = x.highFirst.RecordValue(d.Microseconds())
+		_ = x.highFirstToken.RecordValue(d.Microseconds())
 	}
 }
 
-const bucketSize = 100 * time.Millisecond
+const bucketDuration = 100 * time.Millisecond
 
-func (x *result) bucket(now time.Time) {
-	i := int(now.Sub(x.start) / bucketSize)
+func (x *result) countToken(now time.Time) {
+	i := int(now.Sub(x.start) / bucketDuration)
 	for len(x.buckets) <= i {
 		x.buckets = append(x.buckets, 0)
 	}
 	x.buckets[i]++
 }
 
-// ratio is tokens on time over the bound.
-func (x *result) ratio() float64 { return float64(x.onTime) / x.length.Seconds() / x.bound }
+// ratio is the rate of on-time tokens divided by the throughput bound.
+func (x *result) ratio() float64 { return float64(x.onTimeTokens) / x.length.Seconds() / x.bound }
 
-// fairness is Jain's index of what workspaces were served, over what they would
-// be by max-min fairness: who wants little gets it, the others get equal parts.
+// fairness is Jain's index of each workspace's served tokens divided by its max-min fair share.
 func (x *result) fairness() float64 {
 	var total float64
-	for _, v := range x.served {
+	for _, v := range x.servedTokens {
 		total += v
 	}
-	fair := maxMin(x.wanted, total)
+	fair := maxMinShares(x.requestedTokens, total)
 	var sum, squares, n float64
-	for w, share := range fair {
-		part := x.served[w] / share
-		sum += part
-		squares += part * part
+	for w, fairShare := range fair {
+		ratio := x.servedTokens[w] / fairShare
+		sum += ratio
+		squares += ratio * ratio
 		n++
 	}
 	if squares == 0 {
@@ -384,32 +388,33 @@
 	return sum * sum / (n * squares)
 }
 
-// maxMin divides a total among wants.
-func maxMin(wants map[string]float64, total float64) map[string]float64 {
+// maxMinShares divides total among demands by max-min fairness: a demand below an equal share is
+// met in full, and the others get equal shares of the rest.
+func maxMinShares(demands map[string]float64, total float64) map[string]float64 {
 	out := make(map[string]float64)
-	open := maps.Clone(wants)
-	for len(open) > 0 {
-		part := total / float64(len(open))
-		given := false
-		for w, want := range open {
-			if want <= part {
-				out[w], given = want, true
-				total -= want
-				delete(open, w)
+	unmet := maps.Clone(demands)
+	for len(unmet) > 0 {
+		share := total / float64(len(unmet))
+		satisfied := false
+		for w, demand := range unmet {
+			if demand <= share {
+				out[w], satisfied = demand, true
+				total -= demand
+				delete(unmet, w)
 			}
 		}
-		if given {
+		if satisfied {
 			continue
 		}
-		for w := range open {
-			out[w] = part
+		for w := range unmet {
+			out[w] = share
 		}
 		return out
 	}
 	return out
 }
 
-func (x *result) hits() float64 {
+func (x *result) prefixHitRatio() float64 {
 	hits, all := 0, 0
 	for _, e := range x.fleet.Engines() {
 		hits += e.Hits
@@ -421,11 +426,11 @@
 const header = "| policy | load | tokens/bound | first token p50/p95/p99 ms | gap p50/p95/p99 ms | refused | late | lost | retries | fairness | prefix hits |\n|---|---|---|---|---|---|---|---|---|---|---|\n"
 
 func (x *result) row(name string) string {
-	q := func(h *hdrhistogram.Histogram) string {
+	quantiles := func(h *hdrhistogram.Histogram) string {
 		return fmt.Sprintf("%.0f / %.0f / %.0f", float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(95))/1000, float64(h.ValueAtQuantile(99))/1000)
 	}
-	return fmt.Sprintf("| %s | %.2f | %.3f | %s | %s | %.1f%% | %.1f%% | %.1f%% | %d | %.3f | %.2f |\n", name, x.load, x.ratio(), q(x.first), q(x.gap),
-		100*float64(x.refused)/float64(max(1, x.asked)), 100*float64(x.late)/float64(max(1, x.asked)), 100*float64(x.lost)/float64(max(1, x.asked)), x.again, x.fairness(), x.hits())
+	return fmt.Sprintf("| %s | %.2f | %.3f | %s | %s | %.1f%% | %.1f%% | %.1f%% | %d | %.3f | %.2f |\n", name, x.load, x.ratio(), quantiles(x.firstToken), quantiles(x.tokenGap),
+		100*float64(x.refused)/float64(max(1, x.requests)), 100*float64(x.late)/float64(max(1, x.requests)), 100*float64(x.lost)/float64(max(1, x.requests)), x.retries, x.fairness(), x.prefixHitRatio())
 }
 
 var policies = []struct {
--- a/router/router.go
+++ b/router/router.go
@@ -1,9 +1,9 @@
-// Package router joins the decisions for a request: admitter (whether and
-// when), tracker and picker (where), limits, retry budget and quarantine.
+// Package router combines the decisions on a request: package admitter decides whether and when it
+// runs, packages tracker and picker decide where, and rate limits, the retry budget and the
+// quarantine may refuse it.
 //
-// It is what streamer asks for routes, and server for instances of plain
-// services. It does no I/O; news that other hosts must hear goes out through
-// Publish.
+// Package streamer asks it for routes, and package server asks it for instances of plain services.
+// It does no I/O: it announces to other hosts and probes upstreams through the Router's News.
 package router
 
 import (
@@ -21,31 +21,33 @@
 )
 
 const (
-	// maxAttempts bounds the routes of one request.
+	// maxAttempts is how many routes one request may be sent on.
 	maxAttempts = 8
-	// retryPriority puts a request that already has part of its answer before
-	// all new ones: its caller waits in mid-sentence.
+	// retryPriority ranks retries above all new requests, because the caller of a retry may
+	// already have part of the answer and waits for the rest.
 	retryPriority = 10
-	// comeBack is the Retry-After of failures that pass by themselves.
-	comeBack = time.Second
+	// retryAfter is the Retry-After of refusals whose cause is expected to pass without action.
+	retryAfter = time.Second
 )
 
-// News is how other hosts hear of what this one saw.
+// News announces to other hosts what this host observed of upstreams, and probes upstreams that
+// may be down.
 type News interface {
-	// Leaving tells that an upstream takes no new work in an incarnation.
+	// Leaving announces that an upstream takes no new work in the given incarnation.
 	Leaving(upstream string, incarnation int64)
-	// Down tells that an upstream does not answer, or does again.
+	// Down announces that an upstream does not answer, or with down false that it answers again.
 	Down(upstream string, incarnation int64, down bool)
-	// Strike tells of a crash that a request was in flight for.
+	// Strike announces a crash of an upstream together with a request that was in flight on it.
 	Strike(s tracker.Strike)
-	// Doubt asks for the upstreams to be probed now.
+	// Doubt schedules a probe of each upstream now and does not wait for the results.
 	Doubt(upstreams []string)
-	// Ask probes upstreams at once and returns one that doesn't answer, or
-	// nothing.
+	// Ask probes the upstreams, waits, and returns one that does not answer; empty means that all
+	// of them answer.
 	Ask(ctx context.Context, upstreams []string) string
 }
 
-// Router is safe for concurrent use. The fields are set before use.
+// Router chooses the route of each attempt of a request, and decides on retries and refusals.
+// It is safe for concurrent use. The exported fields are set before use.
 type Router struct {
 	DataCentre string
 	Tracker    *tracker.Tracker
@@ -57,22 +59,23 @@
 	Meter      *meter.Meter
 	Checker    *checker.Checker
 
-	mu     sync.Mutex
-	habits map[string]*habit
+	mu sync.Mutex
+	// statsByPipeline has no entry for a pipeline without a complete answer.
+	statsByPipeline map[string]*answerStats
 }
 
-// habit is what answers of a pipeline have come to of late.
-type habit struct {
-	// fill is the part of the asked tokens that an answer has.
-	fill float64
-	// gap is the time between two of them.
-	gap time.Duration
+// answerStats holds moving averages over the answers of one pipeline.
+type answerStats struct {
+	// tokenFraction is the number of generated tokens divided by the request's MaxTokens.
+	tokenFraction float64
+	// tokenGap is the mean time between two tokens of an answer.
+	tokenGap time.Duration
 }
 
-// Admit checks what can be told before a request waits: its workspace's limit
-// and quarantine.
+// Admit returns the refusal of a request that is quarantined or exceeds its workspace's rate limit,
+// or nil. These checks need no upstream, so they run before the request is queued.
 func (r *Router) Admit(workspace string, fingerprint uint64) *admitter.Refusal {
-	if refusal := r.quarantine(fingerprint); refusal != nil {
+	if refusal := r.quarantineRefusal(fingerprint); refusal != nil {
 		return refusal
 	}
 	if wait, ok := r.Limits.Allow(time.Now(), workspace); !ok {
@@ -84,7 +87,7 @@
 // Route implements streamer.Router.
 func (r *Router) Route(ctx context.Context, job *streamer.Job, attempt int) ([]streamer.Stage, time.Duration, error) {
 	if attempt > 1 {
-		if refusal := r.reconsider(ctx, job); refusal != nil {
+		if refusal := r.recheckQuarantine(ctx, job); refusal != nil {
 			return nil, 0, refusal
 		}
 	}
@@ -95,35 +98,35 @@
 		Priority:  job.Priority,
 		Cost:      float64(job.MaxTokens),
 		Deadline:  job.Deadline,
-		Service:   r.service(job),
+		Service:   r.expectedServiceTime(job),
 	}
 	if attempt > 1 {
 		tk.Priority = retryPriority
 		tk.Service = 0
 	}
-	route, refusal := r.Admitter.Acquire(ctx, now, tk, func() (picker.Route, bool) { return r.try(job) })
+	route, refusal := r.Admitter.Acquire(ctx, now, tk, func() (picker.Route, bool) { return r.tryAcquire(job) })
 	if refusal != nil {
 		return nil, 0, refusal
 	}
 	return r.stages(job, route), r.Tracker.Expect(time.Now(), job.Pipeline, route, r.DataCentre), nil
 }
 
-// reconsider refuses a job that has crashed what runs it. It first waits for
-// what other hosts have to say of the last crash: others may have been struck
-// by the same ones.
-func (r *Router) reconsider(ctx context.Context, job *streamer.Job) *admitter.Refusal {
-	const hearsay = 100 * time.Millisecond
+// recheckQuarantine returns the refusal of a job that has repeatedly crashed its upstreams, or nil.
+// It first waits for strikes from other hosts: while another request was in flight at the same
+// crashes, neither of the two is refused.
+func (r *Router) recheckQuarantine(ctx context.Context, job *streamer.Job) *admitter.Refusal {
+	const strikePropagation = 100 * time.Millisecond
 	if !r.Suspects.Doubtful(time.Now(), job.Fingerprint) {
 		return nil
 	}
 	select {
-	case <-time.After(hearsay):
+	case <-time.After(strikePropagation):
 	case <-ctx.Done():
 	}
-	return r.quarantine(job.Fingerprint)
+	return r.quarantineRefusal(job.Fingerprint)
 }
 
-func (r *Router) quarantine(fingerprint uint64) *admitter.Refusal {
+func (r *Router) quarantineRefusal(fingerprint uint64) *admitter.Refusal {
 	wait, ok := r.Suspects.Quarantined(time.Now(), fingerprint)
 	if !ok {
 		return nil
@@ -134,9 +137,9 @@
 	}
 }
 
-// try picks a route now. One that failed the job before is passed over, unless
-// it merely stalled and there is no other.
-func (r *Router) try(job *streamer.Job) (picker.Route, bool) {
+// tryAcquire picks a route now. It avoids upstreams that failed the job before, but uses them when
+// no other route has room and the last failure was a stall that no single upstream caused.
+func (r *Router) tryAcquire(job *streamer.Job) (picker.Route, bool) {
 	req := r.request(job)
 	route := r.Tracker.Acquire(time.Now(), req)
 	if route == nil && job.Soft {
@@ -168,34 +171,35 @@
 	return out
 }
 
-// service is how long the answer likely takes once it runs; 0 while nothing is
-// known.
-func (r *Router) service(job *streamer.Job) time.Duration {
+// expectedServiceTime estimates how long the answer takes once it runs. It is 0 before the
+// pipeline's first answer.
+func (r *Router) expectedServiceTime(job *streamer.Job) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.habits[job.Pipeline]
+	h := r.statsByPipeline[job.Pipeline]
 	if h == nil {
 		return 0
 	}
-	return time.Duration(h.fill * float64(job.MaxTokens) * float64(h.gap))
+	return time.Duration(h.tokenFraction * float64(job.MaxTokens) * float64(h.tokenGap))
 }
 
 // Release implements streamer.Router.
 func (r *Router) Release(job *streamer.Job, stages []streamer.Stage, failure *streamer.Failure) {
 	now := time.Now()
 	if failure != nil {
-		r.learn(now, failure)
+		r.recordFailure(now, failure)
 	}
 	r.Tracker.Release(now, upstreamsOf(stages), job.ID)
 	if failure == nil {
 		r.Budget.Earn()
-		r.clear(now, job.Fingerprint)
+		r.clearStrikes(now, job.Fingerprint)
 	}
 	r.Admitter.Wake(now, job.Pipeline)
 }
 
-// clear takes back what a request is held for once it was answered whole.
-func (r *Router) clear(now time.Time, fingerprint uint64) {
+// clearStrikes clears the strikes against a request that was answered completely, here and on
+// other hosts.
+func (r *Router) clearStrikes(now time.Time, fingerprint uint64) {
 	for _, s := range r.Suspects.Of(now, fingerprint) {
 		s.Cleared = true
 		r.Suspects.Add(s)
@@ -203,14 +207,14 @@
 	}
 }
 
-// learn draws what a failure says of the upstreams, before the request leaves
-// the list of those in flight.
-func (r *Router) learn(now time.Time, f *streamer.Failure) {
+// recordFailure updates the state of the upstreams that a failure is evidence against. It must run
+// before the request is removed from those in flight, because a crash is held against all of them.
+func (r *Router) recordFailure(now time.Time, f *streamer.Failure) {
 	switch f.Cause {
 	case streamer.CauseBroken, streamer.CauseStage:
-		r.crashed(now, f.Upstream)
+		r.recordCrash(now, f.Upstream)
 	case streamer.CauseConnect:
-		r.down(now, f.Upstream)
+		r.markDown(now, f.Upstream)
 	case streamer.CauseLeaving:
 		inc := r.Tracker.Incarnation(f.Upstream)
 		if r.Tracker.Leave(f.Upstream, inc) {
@@ -228,30 +232,30 @@
 	}
 }
 
-// crashed makes suspects of all requests in flight on an upstream that broke.
-// A request that crashes what runs it was sent again and again, through every
-// entry host, and each time took an upstream and all its other requests down.
-// Whichever request is the cause was in flight there, so a second crash tells.
-func (r *Router) crashed(now time.Time, upstream string) {
+// recordCrash adds a strike to every request in flight on an upstream that crashed. Without it, a
+// request that crashes engines is retried through every entry host, and each retry takes down an
+// upstream with all its other requests. The request that causes crashes is in flight at each of
+// them, so it collects a second strike.
+func (r *Router) recordCrash(now time.Time, upstream string) {
 	inc := r.Tracker.Incarnation(upstream)
 	for _, fp := range r.Tracker.Struck(upstream) {
 		s := tracker.NewStrike(now, fp, upstream, inc)
 		r.Suspects.Add(s)
 		r.News.Strike(s)
 	}
-	r.down(now, upstream)
-	// Whether others fell with it tells a request that crashes engines from a
-	// rack that lost its power.
-	const sample = 6
-	r.News.Doubt(r.Tracker.Beside(upstream, sample))
+	r.markDown(now, upstream)
+	// Probing others in the data centre tells a request that crashes engines, where the others
+	// still answer, from a rack that lost its power, where they do not.
+	const maxProbed = 6
+	r.News.Doubt(r.Tracker.Beside(upstream, maxProbed))
 }
 
-// Lost draws what a failed call says of an instance of a plain service.
+// Lost records that a call to an instance of a plain service failed.
 func (r *Router) Lost(instance string, cause streamer.Cause) {
-	r.learn(time.Now(), &streamer.Failure{Cause: cause, Upstream: instance})
+	r.recordFailure(time.Now(), &streamer.Failure{Cause: cause, Upstream: instance})
 }
 
-func (r *Router) down(now time.Time, upstream string) {
+func (r *Router) markDown(now time.Time, upstream string) {
 	if r.Tracker.Bad(now, upstream, true) {
 		r.News.Down(upstream, r.Tracker.Incarnation(upstream), true)
 		r.News.Doubt([]string{upstream})
@@ -268,7 +272,7 @@
 
 // Retry implements streamer.Router.
 func (r *Router) Retry(job *streamer.Job, f *streamer.Failure) error {
-	refusal := r.verdict(job, f)
+	refusal := r.retryRefusal(job, f)
 	if refusal != nil {
 		refusal.NotRun = refusal.NotRun && !f.Started
 		return refusal
@@ -283,29 +287,29 @@
 	return nil
 }
 
-func (r *Router) verdict(job *streamer.Job, f *streamer.Failure) *admitter.Refusal {
+func (r *Router) retryRefusal(job *streamer.Job, f *streamer.Failure) *admitter.Refusal {
 	switch f.Cause {
 	case streamer.CauseCaller:
 		return &admitter.Refusal{Reason: admitter.ReasonCanceled}
 	case streamer.CauseDeadline:
 		return &admitter.Refusal{Reason: admitter.ReasonDeadline, RetryAfter: r.Admitter.RetryAfter(job.Pipeline)}
 	case streamer.CauseInvalid:
-		return &admitter.Refusal{Reason: admitter.ReasonMalformed, NotRun: true, Detail: "the engine can't take it"}
+		return &admitter.Refusal{Reason: admitter.ReasonMalformed, NotRun: true, Detail: "the engine rejected the request as invalid"}
 	default:
 	}
 	if f.Attempt >= maxAttempts {
-		return &admitter.Refusal{Reason: admitter.ReasonUpstream, RetryAfter: comeBack, Detail: "too many attempts"}
+		return &admitter.Refusal{Reason: admitter.ReasonUpstream, RetryAfter: retryAfter, Detail: "too many attempts"}
 	}
-	if spends(f) && !r.Budget.Spend() {
-		return &admitter.Refusal{Reason: admitter.ReasonRetryBudget, RetryAfter: comeBack}
+	if spendsBudget(f) && !r.Budget.Spend() {
+		return &admitter.Refusal{Reason: admitter.ReasonRetryBudget, RetryAfter: retryAfter}
 	}
 	return nil
 }
 
-// spends reports whether a retry is paid for from the budget. A failure that
-// took its upstream out of service can't repeat there, so it multiplies no
-// load; one that left it in service can.
-func spends(f *streamer.Failure) bool {
+// spendsBudget reports whether a retry after this failure consumes the retry budget. A failure that
+// took its upstream out of service can't recur there, so its retries don't multiply load; a failure
+// that left the upstream in service can recur, so its retries do.
+func spendsBudget(f *streamer.Failure) bool {
 	switch f.Cause {
 	case streamer.CauseConnect, streamer.CauseBroken, streamer.CauseStage, streamer.CauseLeaving:
 		return false
@@ -333,36 +337,38 @@
 	}
 }
 
-// Answered takes in a whole answer: its tokens and how long they took.
+// Answered adds a complete answer to the pipeline's averages. took is the time from the first
+// token to the last.
 func (r *Router) Answered(job *streamer.Job, tokens int, took time.Duration) {
 	const weight = 0.05
-	fill := float64(tokens) / float64(job.MaxTokens)
+	fraction := float64(tokens) / float64(job.MaxTokens)
 	gap := took / time.Duration(max(1, tokens))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.habits == nil {
-		r.habits = make(map[string]*habit)
+	if r.statsByPipeline == nil {
+		r.statsByPipeline = make(map[string]*answerStats)
 	}
-	h := r.habits[job.Pipeline]
+	h := r.statsByPipeline[job.Pipeline]
 	if h == nil {
-		r.habits[job.Pipeline] = &habit{fill, gap}
+		r.statsByPipeline[job.Pipeline] = &answerStats{fraction, gap}
 		return
 	}
-	h.fill += weight * (fill - h.fill)
-	h.gap += time.Duration(weight * float64(gap-h.gap))
+	h.tokenFraction += weight * (fraction - h.tokenFraction)
+	h.tokenGap += time.Duration(weight * float64(gap-h.tokenGap))
 }
 
-// Refused makes a refusal of any error that ended a request, counts it, and
-// asserts that "not run" is true. started is what the parts that sent it say,
-// w what the clients of upstreams saw; w is nil before a request got that far.
+// Refused converts an error that ended a request into a refusal, counts it, and asserts that a
+// refusal marked as not run is right. started is whether an upstream may have started the request
+// according to the code that sent it, w is the same according to the clients of upstreams; w is nil
+// when the request did not get that far.
 func (r *Router) Refused(requestID string, err error, started bool, w *checker.Witness) *admitter.Refusal {
 	var refusal *admitter.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = &admitter.Refusal{Reason: admitter.ReasonUpstream, RetryAfter: comeBack, Detail: err.Error()}
+		refusal = &admitter.Refusal{Reason: admitter.ReasonUpstream, RetryAfter: retryAfter, Detail: err.Error()}
 	}
 	out := *refusal
 	out.NotRun = out.NotRun && !started
-	r.Checker.Assert(!out.NotRun || w == nil || !w.Started(), checker.InvariantNotRun, requestID, "refused as not run: %v", err)
+	r.Checker.Assert(!out.NotRun || w == nil || !w.Started(), checker.InvariantNotRun, requestID, "refused as not run, but an upstream may have started it: %v", err)
 	r.Meter.Refusals.WithLabelValues(out.Reason.String()).Inc()
 	return &out
 }
