--- a/picker/baseline.go
+++ b/picker/baseline.go
@@ -2,42 +2,42 @@
 
 import "math/rand/v2"
 
-// The policies here are baselines to measure against. Each goes through the
-// layers from the first on, takes one of the upstreams that hold the next
-// layer, and runs all it holds from there.
+// The policies here are baselines that Cheapest is measured against. Each builds a route greedily
+// from layer 0: it takes one of the upstreams that hold the next layer and runs every layer that
+// this upstream holds from there on.
 
-// Random takes any.
+// Random takes an eligible upstream at random.
 type Random struct{}
 
 // Pick implements Policy.
 func (Random) Pick(cands []Candidate, need Need, _ Links, rnd *rand.Rand) Route {
-	return walk(cands, need, func(open []*Candidate) *Candidate {
-		return open[rnd.IntN(len(open))]
+	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
+		return eligible[rnd.IntN(len(eligible))]
 	})
 }
 
-// RoundRobin takes each in turn. Turn must not be shared between goroutines.
+// RoundRobin takes the eligible upstreams in turn. It is not safe for concurrent use.
 type RoundRobin struct {
-	// Turn counts the choices so far.
+	// Turn is the number of choices so far.
 	Turn int
 }
 
 // Pick implements Policy.
 func (p *RoundRobin) Pick(cands []Candidate, need Need, _ Links, _ *rand.Rand) Route {
-	return walk(cands, need, func(open []*Candidate) *Candidate {
+	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
 		p.Turn++
-		return open[p.Turn%len(open)]
+		return eligible[p.Turn%len(eligible)]
 	})
 }
 
-// LeastInFlight takes the one with the fewest sequences of this host's own.
+// LeastInFlight takes the eligible upstream on which this host itself has the fewest sequences.
 type LeastInFlight struct{}
 
 // Pick implements Policy.
 func (LeastInFlight) Pick(cands []Candidate, need Need, _ Links, _ *rand.Rand) Route {
-	return walk(cands, need, func(open []*Candidate) *Candidate {
-		best := open[0]
-		for _, c := range open[1:] {
+	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
+		best := eligible[0]
+		for _, c := range eligible[1:] {
 			if c.Own < best.Own {
 				best = c
 			}
@@ -46,13 +46,14 @@
 	})
 }
 
-// TwoChoices draws two and takes the less utilised.
+// TwoChoices draws two eligible upstreams at random, possibly the same one twice, and takes the less
+// utilised.
 type TwoChoices struct{}
 
 // Pick implements Policy.
 func (TwoChoices) Pick(cands []Candidate, need Need, _ Links, rnd *rand.Rand) Route {
-	return walk(cands, need, func(open []*Candidate) *Candidate {
-		a, b := open[rnd.IntN(len(open))], open[rnd.IntN(len(open))]
+	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
+		a, b := eligible[rnd.IntN(len(eligible))], eligible[rnd.IntN(len(eligible))]
 		if b.Utilisation() < a.Utilisation() {
 			return b
 		}
@@ -60,21 +61,23 @@
 	})
 }
 
-func walk(cands []Candidate, need Need, choose func([]*Candidate) *Candidate) Route {
+// greedyRoute builds a route from layer 0 on, with choose picking among the usable upstreams that
+// hold the next layer. It returns nil when no upstream is usable for a layer.
+func greedyRoute(cands []Candidate, need Need, choose func([]*Candidate) *Candidate) Route {
 	var route Route
-	open := make([]*Candidate, 0, len(cands))
+	eligible := make([]*Candidate, 0, len(cands))
 	for next := 0; next < need.Layers; {
-		open = open[:0]
+		eligible = eligible[:0]
 		for i := range cands {
 			c := &cands[i]
 			if c.First <= next && next <= c.Last && usable(c) {
-				open = append(open, c)
+				eligible = append(eligible, c)
 			}
 		}
-		if len(open) == 0 {
+		if len(eligible) == 0 {
 			return nil
 		}
-		c := choose(open)
+		c := choose(eligible)
 		route = append(route, Hop{c.Name, next, min(c.Last, need.Layers-1)})
 		next = c.Last + 1
 	}
--- a/picker/bound.go
+++ b/picker/bound.go
@@ -2,111 +2,115 @@
 
 import "slices"
 
-// LinkLimit is how many tokens' activations a link carries a second.
+// LinkLimit is the bandwidth of a link between two data centres: how many tokens' activations it
+// carries per second in each direction. 0 means unlimited.
 type LinkLimit struct {
 	From, To        string
 	TokensPerSecond float64
 }
 
-// Bound is the most tokens a second that the candidates and links can carry,
-// each layer once for each token. work is the iterations' worth of a token: 1
-// for a generated one, more when prompts are read beside it.
+// Bound returns the throughput bound: the most tokens per second that the candidates and links can
+// carry when each token passes each layer once. work is the cost of a token in iterations: 1 for a
+// generated token, more when the cost of reading prompts is spread over the tokens.
 //
-// It is a linear program. A token flows over nodes (boundary, data centre);
-// an upstream carries it from one boundary to a later one and spends its time
-// on it, and links carry it between data centres. Alike upstreams are one
-// budget, so the program grows with kinds and not with the fleet.
+// It solves a linear program of flow through a graph whose nodes are (layer boundary, data centre).
+// An upstream carries tokens from one boundary to a later one and spends its time on them; links
+// carry tokens between data centres. Identical upstreams share one budget, so the program's size
+// depends on the number of kinds of upstreams and not on the size of the fleet.
 func Bound(cands []Candidate, layers int, limits []LinkLimit, work float64) (float64, error) {
-	g := &flow{marks: boundaries(cands, layers), centres: dataCentres(cands)}
+	g := &flowProgram{boundaries: layerBoundaries(cands, layers), centres: dataCentres(cands)}
 	if len(cands) == 0 {
 		return 0, nil
 	}
-	g.upstreams(cands, layers, work)
+	g.addUpstreams(cands, layers, work)
 	if len(g.centres) > 1 {
-		g.links(limits)
+		g.addLinks(limits)
 	}
 	value, _, err := g.solve()
 	return value, err
 }
 
-// flow is a linear program under construction.
-type flow struct {
-	marks   []int
-	centres []string
-	edges   []edge
-	// caps are the budgets that edges spend from: a group's time, a link.
-	caps []float64
+// flowProgram is the linear program of Bound.
+type flowProgram struct {
+	boundaries []int
+	centres    []string
+	edges      []edge
+	// budgets are the capacities that edges consume: the time of a group of identical upstreams, in
+	// seconds per second, or the tokens per second of a link.
+	budgets []float64
 }
 
-// edge carries tokens between two nodes and spends use of a budget for each.
+// edge carries tokens from one node to another and consumes usage of a budget for each token.
 type edge struct {
 	from, to int
-	// budget is an index of caps, or -1.
+	// budget is an index into flowProgram.budgets, or -1 when the edge is unlimited.
 	budget int
-	use    float64
+	usage  float64
 }
 
-type alike struct {
+// upstreamKind identifies upstreams that are identical to the linear program.
+type upstreamKind struct {
 	dataCentre  string
 	first, last int
 	step, layer int64
 	batch       int
 }
 
-func (g *flow) node(mark, centre int) int { return mark*len(g.centres) + centre }
+func (g *flowProgram) nodeIndex(boundary, centre int) int { return boundary*len(g.centres) + centre }
 
-func (g *flow) upstreams(cands []Candidate, layers int, work float64) {
-	groups := make(map[alike]int)
-	var order []alike
-	sample := make(map[alike]*Candidate)
+func (g *flowProgram) addUpstreams(cands []Candidate, layers int, work float64) {
+	groups := make(map[upstreamKind]int)
+	var order []upstreamKind
+	sample := make(map[upstreamKind]*Candidate)
 	for i := range cands {
 		c := &cands[i]
 		if c.Excluded {
 			continue
 		}
-		k := alike{c.DataCentre, c.First, c.Last, int64(c.Step), int64(c.Layer), c.Batch}
-		if groups[k] == 0 {
-			order = append(order, k)
-			sample[k] = c
+		kind := upstreamKind{c.DataCentre, c.First, c.Last, int64(c.Step), int64(c.Layer), c.Batch}
+		if groups[kind] == 0 {
+			order = append(order, kind)
+			sample[kind] = c
 		}
-		groups[k]++
+		groups[kind]++
 	}
-	for _, k := range order {
-		budget := len(g.caps)
-		g.caps = append(g.caps, float64(groups[k]))
-		dc := slices.Index(g.centres, k.dataCentre)
-		for a, from := range g.marks {
-			for b := a + 1; b < len(g.marks); b++ {
-				to := g.marks[b]
-				if from < k.first || to > min(k.last+1, layers) {
+	for _, kind := range order {
+		budget := len(g.budgets)
+		g.budgets = append(g.budgets, float64(groups[kind]))
+		dc := slices.Index(g.centres, kind.dataCentre)
+		for a, from := range g.boundaries {
+			for b := a + 1; b < len(g.boundaries); b++ {
+				to := g.boundaries[b]
+				if from < kind.first || to > min(kind.last+1, layers) {
 					continue
 				}
-				g.edges = append(g.edges, edge{g.node(a, dc), g.node(b, dc), budget, work / sample[k].Rate(to-from)})
+				g.edges = append(g.edges, edge{g.nodeIndex(a, dc), g.nodeIndex(b, dc), budget, work / sample[kind].Rate(to-from)})
 			}
 		}
 	}
 }
 
-func (g *flow) links(limits []LinkLimit) {
+func (g *flowProgram) addLinks(limits []LinkLimit) {
 	for i, from := range g.centres {
 		for j, to := range g.centres {
 			if i == j {
 				continue
 			}
-			budget := g.linkBudget(from, to, limits)
-			for m := 1; m < len(g.marks)-1; m++ {
-				g.edges = append(g.edges, edge{g.node(m, i), g.node(m, j), budget, 1})
+			budget := g.addLinkBudget(from, to, limits)
+			for m := 1; m < len(g.boundaries)-1; m++ {
+				g.edges = append(g.edges, edge{g.nodeIndex(m, i), g.nodeIndex(m, j), budget, 1})
 			}
 		}
 	}
 }
 
-func (g *flow) linkBudget(from, to string, limits []LinkLimit) int {
+// addLinkBudget adds the budget of a link and returns its index, or -1 when no limit is declared.
+func (g *flowProgram) addLinkBudget(from, to string, limits []LinkLimit) int {
 	for _, l := range limits {
 		same := l.From == from && l.To == to || l.From == to && l.To == from
 		if same && l.TokensPerSecond > 0 {
-			g.caps = append(g.caps, l.TokensPerSecond)
-			return len(g.caps) - 1
+			g.budgets = append(g.budgets, l.TokensPerSecond)
+			return len(g.budgets) - 1
 		}
 	}
 	return -1
--- a/picker/cheapest.go
+++ b/picker/cheapest.go
@@ -7,74 +7,75 @@
 	"time"
 )
 
-// Cheapest takes the cheapest path over layer boundaries. A hop costs the time
-// of its iteration, made dearer as the upstream fills, plus the link to it.
-// An upstream may run a part of its range, so a fast one with room relieves a
-// slow one that overlaps it.
+// Cheapest takes the cheapest path over layer boundaries. A hop costs the time of its iteration,
+// multiplied by a factor that grows with the upstream's utilisation, plus the latency of the link to
+// it. An upstream may run only a part of its layer range, so that a fast upstream with free slots
+// takes over layers of a slow one that overlaps it.
 type Cheapest struct {
-	// Steepness is how strongly a full upstream is avoided: a hop costs
-	// 1/(1-utilisation)^Steepness times its idle time. 0 means 1.
+	// Steepness is how strongly a utilised upstream is avoided: a hop costs
+	// 1/(1-utilisation)^Steepness times what it costs on an idle upstream. 0 means 1.
 	Steepness float64
-	// Spread draws each cost from 1 to 1+Spread times itself, so that hosts
-	// which see the same reports don't all choose alike. 0 means none.
+	// Spread is random jitter: each cost is multiplied by a random factor between 1 and 1+Spread,
+	// so that hosts with the same load reports don't all choose the same upstream. 0 means none.
 	Spread float64
-	// PreferredCost multiplies the cost where the prefix is cached; 0 means 1.
+	// PreferredCost multiplies the cost of a Preferred candidate; 0 means 1.
 	PreferredCost float64
 }
 
-// node is the cheapest way found to have run all layers before a boundary and
-// to stand in a data centre.
-type node struct {
+// bestPath is the cheapest path found so far that has run all layers before a boundary and ends in a
+// given data centre.
+type bestPath struct {
 	cost float64
-	// hop is the last hop, from the node at index prev; -1 is the start.
+	// hop is the last hop of the path. prev is the index of the path before it; -1 is the start.
 	hop  Hop
 	prev int
 }
 
 // Pick implements Policy.
 func (p Cheapest) Pick(cands []Candidate, need Need, links Links, rnd *rand.Rand) Route {
-	marks := boundaries(cands, need.Layers)
+	boundaries := layerBoundaries(cands, need.Layers)
 	centres := dataCentres(cands)
 	width := len(centres)
-	nodes := make([]node, len(marks)*width)
+	nodes := make([]bestPath, len(boundaries)*width)
 	for i := range nodes {
 		nodes[i].cost = math.Inf(1)
 	}
-	prices := p.prices(cands, rnd)
-	order := byFirst(cands)
-	for m, mark := range marks[:len(marks)-1] {
+	factors := p.costFactors(cands, rnd)
+	order := indexesByFirstLayer(cands)
+	for m, boundary := range boundaries[:len(boundaries)-1] {
 		for _, i := range order {
 			c := &cands[i]
-			if c.First > mark {
+			if c.First > boundary {
 				break
 			}
-			if c.Last < mark || math.IsInf(prices[i], 1) {
+			if c.Last < boundary || math.IsInf(factors[i], 1) {
 				continue
 			}
 			dc := slices.Index(centres, c.DataCentre)
-			from, reach := p.arrive(nodes, m, width, centres, dc, need, links)
-			if math.IsInf(reach, 1) {
+			from, arrivalCost := p.cheapestArrival(nodes, m, width, centres, dc, need, links)
+			if math.IsInf(arrivalCost, 1) {
 				continue
 			}
-			for e := m + 1; e < len(marks) && marks[e] <= c.Last+1; e++ {
-				n := marks[e] - mark
-				cost := reach + prices[i]*(c.Step+time.Duration(n)*c.Layer).Seconds()
+			for e := m + 1; e < len(boundaries) && boundaries[e] <= c.Last+1; e++ {
+				n := boundaries[e] - boundary
+				cost := arrivalCost + factors[i]*(c.Step+time.Duration(n)*c.Layer).Seconds()
 				at := e*width + dc
 				if cost < nodes[at].cost {
-					nodes[at] = node{cost, Hop{c.Name, mark, marks[e] - 1}, from}
+					nodes[at] = bestPath{cost, Hop{c.Name, boundary, boundaries[e] - 1}, from}
 				}
 			}
 		}
 	}
-	return trace(nodes, (len(marks)-1)*width, width, centres, need, links)
+	return traceRoute(nodes, (len(boundaries)-1)*width, width, centres, need, links)
 }
 
-// prices is what a second of each candidate costs; infinite when it takes none.
-func (p Cheapest) prices(cands []Candidate, rnd *rand.Rand) []float64 {
+// costFactors returns the cost of a second of iteration time on each candidate, infinite for a
+// candidate that is excluded or full.
+func (p Cheapest) costFactors(cands []Candidate, rnd *rand.Rand) []float64 {
 	out := make([]float64, len(cands))
-	steep := p.Steepness
-	if steep == 0 {
-		steep = 1
+	steepness := p.Steepness
+	if steepness == 0 {
+		steepness = 1
 	}
 	for i := range cands {
 		c := &cands[i]
@@ -82,7 +83,7 @@
 			out[i] = math.Inf(1)
 			continue
 		}
-		out[i] = math.Pow(1-c.Utilisation(), -steep) * (1 + c.Bias)
+		out[i] = math.Pow(1-c.Utilisation(), -steepness) * (1 + c.Bias)
 		if p.Spread > 0 {
 			out[i] *= 1 + p.Spread*rnd.Float64()
 		}
@@ -93,9 +94,10 @@
 	return out
 }
 
-// arrive is the cheapest way to a data centre at a boundary: from the node in
-// any data centre, over the link, or over the first link at the start.
-func (p Cheapest) arrive(nodes []node, m, width int, centres []string, dc int, need Need, links Links) (from int, cost float64) {
+// cheapestArrival returns the cheapest cost of reaching data centre dc at boundary m, and the index
+// of the path that it extends. At boundary 0 the cost is the link from the request's data centre and
+// the index is -1.
+func (p Cheapest) cheapestArrival(nodes []bestPath, m, width int, centres []string, dc int, need Need, links Links) (from int, cost float64) {
 	if m == 0 {
 		return -1, links.Latency(need.From, centres[dc]).Seconds()
 	}
@@ -112,8 +114,9 @@
 	return from, cost
 }
 
-// trace reads the route back from the cheapest end, the link home included.
-func trace(nodes []node, end, width int, centres []string, need Need, links Links) Route {
+// traceRoute returns the route of the cheapest complete path, counting the link back to the
+// request's data centre. It returns nil when there is none.
+func traceRoute(nodes []bestPath, end, width int, centres []string, need Need, links Links) Route {
 	best, cost := -1, math.Inf(1)
 	for d := range width {
 		c := nodes[end+d].cost + links.Latency(centres[d], need.From).Seconds()
@@ -129,13 +132,13 @@
 		route = append(route, nodes[at].hop)
 	}
 	slices.Reverse(route)
-	return joined(route)
+	return mergeHops(route)
 }
 
-// joined merges hops on one upstream, which would otherwise cost it two
-// iterations a token, and drops what lies between them: it holds those layers
-// too. Engines refuse a route that names an upstream twice.
-func joined(route Route) Route {
+// mergeHops merges all hops on one upstream into one and drops the hops between them, since that
+// upstream holds their layers too. Two hops would cost the upstream two iterations per token, and
+// engines refuse a route that names an upstream twice.
+func mergeHops(route Route) Route {
 	out := route[:0]
 	for _, h := range route {
 		at := slices.IndexFunc(out, func(o Hop) bool { return o.Upstream == h.Upstream })
@@ -149,21 +152,22 @@
 	return out
 }
 
-// boundaries are the layers where one upstream may hand over to another, from
-// 0 to the number of layers.
-func boundaries(cands []Candidate, layers int) []int {
-	marks := []int{0, layers}
+// layerBoundaries returns, in order, the layers at which one upstream may hand over to another: 0,
+// the number of layers, and each start and end of a layer range between them.
+func layerBoundaries(cands []Candidate, layers int) []int {
+	out := []int{0, layers}
 	for i := range cands {
 		for _, b := range [2]int{cands[i].First, cands[i].Last + 1} {
-			if b > 0 && b < layers && !slices.Contains(marks, b) {
-				marks = append(marks, b)
+			if b > 0 && b < layers && !slices.Contains(out, b) {
+				out = append(out, b)
 			}
 		}
 	}
-	slices.Sort(marks)
-	return marks
+	slices.Sort(out)
+	return out
 }
 
+// dataCentres returns the data centres of the candidates, each once.
 func dataCentres(cands []Candidate) []string {
 	var out []string
 	for i := range cands {
@@ -174,7 +178,8 @@
 	return out
 }
 
-func byFirst(cands []Candidate) []int {
+// indexesByFirstLayer returns the indexes of the candidates in the order of their first layers.
+func indexesByFirstLayer(cands []Candidate) []int {
 	out := make([]int, len(cands))
 	for i := range out {
 		out[i] = i
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,9 +1,9 @@
 // Package picker chooses routes: which upstreams run which layers of a model
 // for one request. It also computes the throughput bound of a configuration.
 //
-// It does no I/O and reads no clock. What is known of the upstreams comes in as
-// Candidates, randomness as a field, so a policy can be measured alone and one
-// policy run against another on the same seeds.
+// It does no I/O and reads no clock. The state of the upstreams is passed in as Candidates and the
+// random source as an argument, so that policies can be measured in isolation and compared on the
+// same seeds.
 package picker
 
 import (
@@ -12,32 +12,33 @@
 	"time"
 )
 
-// Candidate is an upstream as a policy sees it.
+// Candidate is what a policy knows of an upstream.
 type Candidate struct {
 	Name       string
 	DataCentre string
-	// First and Last are the layers it holds, both included.
+	// First and Last bound the layer range that it holds, both inclusive.
 	First, Last int
-	// Step is the fixed time of an iteration, Layer the time of one layer for
-	// one sequence.
+	// Step is the fixed time of an iteration, Layer the time that one layer adds to it for one
+	// sequence.
 	Step, Layer time.Duration
-	// Batch is the most sequences in one iteration, at least 1.
+	// Batch is the maximum number of sequences in one iteration, at least 1.
 	Batch int
-	// Sequences is how many sequences it is thought to hold, over all hosts.
+	// Sequences is the estimated number of sequences in flight on it, from all hosts.
 	Sequences float64
-	// Own is how many of them are this host's.
+	// Own is the number of sequences that this host has in flight on it.
 	Own int
-	// Slots is how many it may hold so that tokens come in time.
+	// Slots is the number of sequences that it can hold with tokens still arriving in time.
 	Slots float64
-	// Excluded keeps new work off it.
+	// Excluded is set when it must get no new work.
 	Excluded bool
-	// Bias makes it dearer to this request: its cost is times 1+Bias.
+	// Bias raises its cost for this request: the cost is multiplied by 1+Bias.
 	Bias float64
-	// Preferred marks where the request's prompt prefix is likely cached.
+	// Preferred is set when it likely has the prefix of the request's prompt in its cache.
 	Preferred bool
 }
 
-// Utilisation is the part of its slots that is taken; above 1 tokens are late.
+// Utilisation returns the fraction of slots that are taken. Above 1 tokens arrive late; without
+// slots it is infinite.
 func (c *Candidate) Utilisation() float64 {
 	if c.Slots <= 0 {
 		return math.Inf(1)
@@ -45,32 +46,33 @@
 	return c.Sequences / c.Slots
 }
 
-// Rate is how many tokens a second it carries when it runs n layers of each.
+// Rate returns how many tokens per second it carries when it runs n layers for each token in full
+// batches.
 func (c *Candidate) Rate(n int) float64 {
 	iteration := c.Step + time.Duration(c.Batch*n)*c.Layer
 	return float64(c.Batch) / iteration.Seconds()
 }
 
-// Need is what a request asks of a route.
+// Need is what a request requires of its route.
 type Need struct {
-	// Layers is how many the model has.
+	// Layers is the number of layers of the model.
 	Layers int
-	// From is the data centre the route starts and ends at; empty means any.
+	// From is the data centre that the route starts from and returns to; empty means any.
 	From string
-	// Local keeps the route in one data centre.
+	// Local restricts the route to upstreams of one data centre.
 	Local bool
 }
 
-// Hop is one upstream of a route and the layers it runs, both included.
+// Hop is one upstream of a route, and the layers that it runs: First to Last, both inclusive.
 type Hop struct {
 	Upstream    string
 	First, Last int
 }
 
-// Route is hops that tile a model's layers in order.
+// Route is a list of hops that run each layer of a model once, in order.
 type Route []Hop
 
-// Tiles reports whether the hops run layers 0 to n-1 once each, in order.
+// Tiles reports whether the hops run each of the layers 0 to n-1 exactly once, in order.
 func (r Route) Tiles(n int) bool {
 	next := 0
 	for _, h := range r {
@@ -82,10 +84,11 @@
 	return next == n
 }
 
-// Links gives the one-way latency between data centres.
+// Links maps pairs of data centres to the one-way latency between them. One direction is enough.
 type Links map[[2]string]time.Duration
 
-// Latency is 0 within a data centre and where no link is declared.
+// Latency returns the one-way latency from a to b, or that from b to a when only that is declared.
+// It is 0 within a data centre, for an empty name, and where no link is declared.
 func (l Links) Latency(a, b string) time.Duration {
 	if a == b || a == "" || b == "" {
 		return 0
@@ -96,13 +99,14 @@
 	return l[[2]string{b, a}]
 }
 
-// Policy chooses a route over candidates that are not excluded and not full.
-// It returns nil when there is none.
+// Policy chooses routes.
 type Policy interface {
+	// Pick returns a route over candidates that are neither excluded nor full, or nil when there is
+	// none.
 	Pick(cands []Candidate, need Need, links Links, rnd *rand.Rand) Route
 }
 
-// usable reports whether new work may go to a candidate.
+// usable reports whether a candidate may get new work: it is neither excluded nor full.
 func usable(c *Candidate) bool {
 	return !c.Excluded && c.Utilisation() < 1
 }
--- a/picker/simplex.go
+++ b/picker/simplex.go
@@ -6,57 +6,58 @@
 	"slices"
 )
 
-// maxPivots bounds the work of one bound; the largest seen took a few hundred.
+// maxPivots limits the simplex pivots of one bound. The largest bounds seen needed a few hundred.
 const maxPivots = 20000
 
-var errPivots = errors.New("picker: bound not found within the limit of pivots")
+var errPivotLimit = errors.New("picker: throughput bound not found within the maximum number of simplex pivots")
 
-// solve finds the most flow from the first boundary to the last, and the price
-// of each budget at which it is the most.
+// solve returns the maximum flow from the first boundary to the last, in tokens per second, and the
+// dual price of each budget at that flow.
 //
-// It is the revised simplex method over paths: maximise the sum of the paths'
-// flows while no budget is overspent. Columns aren't listed; the next one is
-// the cheapest path at the present prices, and when it costs a whole token
-// there is no better. A library's simplex over edges was used first. Its
-// conservation rows have a right side of zero, so pivots made no progress, and
-// it went round in circles for ever on some sets of upstreams. Here every right
-// side is above zero, and the number of pivots is bounded.
-func (g *flow) solve() (value float64, prices []float64, err error) {
-	t := newTableau(g.caps)
+// It is the revised simplex method over paths with column generation: it maximises the sum of the
+// paths' flows while no budget is exceeded. The entering column is the cheapest path at the current
+// prices; when that path costs at least 1 per token, the flow is optimal. A simplex over edges, as
+// in common libraries, has conservation rows with a right side of zero: its pivots can make no
+// progress, and it cycles forever on some sets of upstreams. Here every right side starts above
+// zero, and the number of pivots is limited.
+func (g *flowProgram) solve() (value float64, prices []float64, err error) {
+	t := newTableau(g.budgets)
 	slices.SortStableFunc(g.edges, func(a, b edge) int { return a.from - b.from })
 	for range maxPivots {
 		prices = t.prices()
-		if j := negative(prices); j >= 0 {
-			t.pivot(unit(len(g.caps), j), 0)
+		if j := firstNegative(prices); j >= 0 {
+			t.pivot(unitVector(len(g.budgets), j), 0)
 			continue
 		}
-		column, cost := g.cheapest(prices)
+		column, cost := g.cheapestPath(prices)
 		if cost >= 1-tolerance || column == nil {
 			return t.value(), prices, nil
 		}
 		t.pivot(column, 1)
 	}
-	return 0, nil, errPivots
+	return 0, nil, errPivotLimit
 }
 
+// tolerance is the rounding error below which two floating-point values count as equal.
 const tolerance = 1e-9
 
-// negative finds a price below zero: its budget's slack improves the flow.
-func negative(prices []float64) int {
+// firstNegative returns the index of the first price below zero, or -1. Bringing the slack of that
+// budget into the basis increases the flow.
+func firstNegative(prices []float64) int {
 	return slices.IndexFunc(prices, func(p float64) bool { return p < -tolerance })
 }
 
-func unit(n, j int) []float64 {
+func unitVector(n, j int) []float64 {
 	out := make([]float64, n)
 	out[j] = 1
 	return out
 }
 
-// cheapest is the path of the lowest price from the first boundary to the last,
-// as what it spends of each budget for one token; nil when there is none.
-func (g *flow) cheapest(prices []float64) (column []float64, cost float64) {
+// cheapestPath finds the path of the lowest cost from the first boundary to the last. column is what
+// the path consumes of each budget for one token; it is nil when there is no path.
+func (g *flowProgram) cheapestPath(prices []float64) (column []float64, cost float64) {
 	width := len(g.centres)
-	n := len(g.marks) * width
+	n := len(g.boundaries) * width
 	best := make([]float64, n)
 	via := make([]int, n)
 	for i := range best {
@@ -65,14 +66,14 @@
 			best[i] = 0
 		}
 	}
-	// Edges are in the order of their boundary, but links join the data centres
-	// of one boundary, so a second round may still improve.
+	// Edges are sorted by the node they start from, but links connect the data centres of one
+	// boundary, so another pass may still find a cheaper path.
 	for changed := true; changed; {
 		changed = false
 		for i, e := range g.edges {
 			c := best[e.from]
 			if e.budget >= 0 {
-				c += e.use * max(0, prices[e.budget])
+				c += e.usage * max(0, prices[e.budget])
 			}
 			if c < best[e.to]-tolerance*tolerance {
 				best[e.to], via[e.to], changed = c, i, true
@@ -88,31 +89,32 @@
 	if math.IsInf(best[end], 1) {
 		return nil, 0
 	}
-	column = make([]float64, len(g.caps))
+	column = make([]float64, len(g.budgets))
 	for at := end; via[at] >= 0; at = g.edges[via[at]].from {
 		if e := g.edges[via[at]]; e.budget >= 0 {
-			column[e.budget] += e.use
+			column[e.budget] += e.usage
 		}
 	}
 	return column, best[end]
 }
 
-// tableau is the state of the simplex method: the inverse of the basis, and
-// the flow and gain of each column in it. It starts with all slacks.
+// tableau is the state of the simplex method: the inverse of the basis matrix, and the flow and the
+// objective coefficient (gain) of each column in the basis. At first the basis is all slacks.
 type tableau struct {
 	inverse [][]float64
 	flows   []float64
 	gains   []float64
 }
 
-func newTableau(caps []float64) *tableau {
-	t := &tableau{flows: slices.Clone(caps), gains: make([]float64, len(caps))}
-	for i := range caps {
-		t.inverse = append(t.inverse, unit(len(caps), i))
+func newTableau(budgets []float64) *tableau {
+	t := &tableau{flows: slices.Clone(budgets), gains: make([]float64, len(budgets))}
+	for i := range budgets {
+		t.inverse = append(t.inverse, unitVector(len(budgets), i))
 	}
 	return t
 }
 
+// value returns the total flow of the paths in the basis.
 func (t *tableau) value() float64 {
 	var sum float64
 	for i, g := range t.gains {
@@ -121,7 +123,7 @@
 	return sum
 }
 
-// prices is what one more unit of each budget is worth.
+// prices returns the dual price of each budget: the flow that one more unit of it would add.
 func (t *tableau) prices() []float64 {
 	out := make([]float64, len(t.flows))
 	for i, g := range t.gains {
@@ -135,31 +137,31 @@
 	return out
 }
 
-// pivot brings a column into the basis, in place of the one that runs out
-// first.
+// pivot brings a column into the basis. It replaces the column whose flow reaches zero first as the
+// new column's flow grows (the ratio test).
 func (t *tableau) pivot(column []float64, gain float64) {
 	d := make([]float64, len(column))
-	leaves, ratio := -1, math.Inf(1)
+	leaving, ratio := -1, math.Inf(1)
 	for i, row := range t.inverse {
 		for j, v := range column {
 			d[i] += row[j] * v
 		}
 		if d[i] > tolerance && t.flows[i]/d[i] < ratio {
-			leaves, ratio = i, t.flows[i]/d[i]
+			leaving, ratio = i, t.flows[i]/d[i]
 		}
 	}
-	if leaves < 0 {
+	if leaving < 0 {
 		return
 	}
-	for j := range t.inverse[leaves] {
-		t.inverse[leaves][j] /= d[leaves]
+	for j := range t.inverse[leaving] {
+		t.inverse[leaving][j] /= d[leaving]
 	}
-	t.flows[leaves], t.gains[leaves] = ratio, gain
+	t.flows[leaving], t.gains[leaving] = ratio, gain
 	for i := range t.inverse {
-		if i == leaves || d[i] == 0 {
+		if i == leaving || d[i] == 0 {
 			continue
 		}
-		for j, v := range t.inverse[leaves] {
+		for j, v := range t.inverse[leaving] {
 			t.inverse[i][j] -= d[i] * v
 		}
 		t.flows[i] = max(0, t.flows[i]-d[i]*ratio)
