--- a/deduplicator/bucket.go
+++ b/deduplicator/bucket.go
@@ -11,75 +11,75 @@
 )
 
 const (
-	// sealBytes is the size at which a generation is sealed. Every commit
-	// writes a generation whole, so it is kept far below the platform's limit.
+	// sealBytes is the encoded size at which a generation is sealed. Every commit writes the whole
+	// generation, so this is far below the platform's limit.
 	sealBytes = 32 << 10
-	// sealRecords and batchRecords keep a generation under the platform's limit
-	// when every record it holds later gets an outcome of inlineBytes.
-	sealRecords  = 256
-	batchRecords = 128
-	// retryPause is the wait after a failed call on the platform.
-	retryPause = 50 * time.Millisecond
+	// sealRecords and maxBatchOperations keep a generation under the platform's limit even if each
+	// of its records later gets an outcome of maxInlineBody bytes.
+	sealRecords        = 256
+	maxBatchOperations = 128
+	// retryDelay is the wait after a failed call to the platform.
+	retryDelay = 50 * time.Millisecond
 )
 
-// operation is a change to one record. apply must be idempotent: it may be
-// applied again to what its first write left.
+// operation is a change to one record. apply must be idempotent: when the answer to a write is lost,
+// it is applied again to the record that the write left.
 type operation struct {
 	key string
-	// apply gets the record now held under key, or nil, and returns the one to
-	// hold, which is the same pointer when nothing changes.
+	// apply gets the record stored under key, or nil, and returns the record to store, which is the
+	// same pointer when nothing changes.
 	apply func(old *Record) *Record
-	// result is the record held after the operation.
+	// result is the stored record after the operation.
 	result Record
 	err    error
 	done   chan struct{}
-	// until is when the caller stops waiting.
-	until time.Time
+	// deadline is when the caller stops waiting for the commit.
+	deadline time.Time
 }
 
-// bucket commits operations on one hash range of keys. Operations that come
-// while a write is under way are committed together by the next one.
+// bucket commits operations on one hash range of keys. Operations that arrive during a write are
+// committed together by the next write.
 //
-// Its records stand in generations, numbered keys of which only the last takes
-// new records. Two hosts with clocks apart must agree which one that is, or a
-// repeat at the turn of a generation would find no record and run again. So
-// the turn is no matter of clocks: a generation is sealed by compare-and-swap,
-// and a host that still writes to it gets a conflict, reads that it is sealed,
-// and moves on to the next.
+// Its records are stored in generations, numbered keys of which only the last takes new records. All
+// hosts must agree which one that is even when their clocks differ; otherwise a repeat during the
+// change to a new generation would find no record and run again. The change therefore does not
+// depend on clocks: a generation is sealed by compare-and-swap, and a host that still writes to it
+// gets a conflict, reads that it is sealed, and continues with the next.
 type bucket struct {
 	d  *Deduplicator
 	id int
 
-	mu      sync.Mutex
-	pending []*operation
-	busy    bool
+	mu         sync.Mutex
+	pending    []*operation
+	committing bool
 
-	// Below is used by the committing goroutine only.
+	// The fields below are used by the committing goroutine only.
 	loaded  bool
 	current generation
 	sealed  map[int]*generation
 }
 
+// generation is a cached copy of one generation and the revision it was read or written at.
 type generation struct {
 	number   int
 	revision int64
-	doc      *document
-	// size is the bytes of doc as last written.
+	doc      *storedGeneration
+	// size is the encoded size of doc in bytes when this host last wrote it; 0 before.
 	size int
-	// fresh is false when doc is a cached copy.
+	// fresh is false when doc may be outdated because it was cached before this attempt.
 	fresh bool
 }
 
-// submit queues an operation and waits for it.
+// submit queues an operation and waits until it is committed, its deadline passes or ctx ends.
 func (b *bucket) submit(ctx context.Context, op *operation) error {
 	op.done = make(chan struct{})
-	op.until = time.Now().Add(b.d.Patience)
+	op.deadline = time.Now().Add(b.d.Patience)
 	b.mu.Lock()
 	b.pending = append(b.pending, op)
-	lead := !b.busy
-	b.busy = true
+	startCommitter := !b.committing
+	b.committing = true
 	b.mu.Unlock()
-	if lead {
+	if startCommitter {
 		go b.commitAll()
 	}
 	select {
@@ -93,11 +93,11 @@
 func (b *bucket) commitAll() {
 	for {
 		b.mu.Lock()
-		n := min(len(b.pending), batchRecords)
+		n := min(len(b.pending), maxBatchOperations)
 		batch := b.pending[:n:n]
 		b.pending = b.pending[n:]
 		if n == 0 {
-			b.busy = false
+			b.committing = false
 			b.mu.Unlock()
 			return
 		}
@@ -106,16 +106,16 @@
 	}
 }
 
-// commit applies a batch until it is written or its time is over. A conflict
-// and a lost answer are settled alike: read again and apply again.
+// commit retries a batch until it is written or the deadlines of its operations pass. A conflict and
+// a lost answer are handled the same way: read again and apply again.
 func (b *bucket) commit(batch []*operation) {
 	for {
-		batch = b.dropLate(batch)
+		batch = b.dropExpired(batch)
 		if len(batch) == 0 {
 			return
 		}
-		ctx, cancel := context.WithDeadline(context.Background(), latest(batch))
-		err := b.try(ctx, batch)
+		ctx, cancel := context.WithDeadline(context.Background(), latestDeadline(batch))
+		err := b.tryCommit(ctx, batch)
 		cancel()
 		if err == nil {
 			for _, op := range batch {
@@ -125,18 +125,20 @@
 		}
 		b.loaded = false
 		if !errors.Is(err, storer.ErrConflict) {
-			b.stale()
+			b.markStale()
 			b.d.Log.Debug().Int("bucket", b.id).Err(err).Msg("deduplicator: commit failed")
-			b.d.sleep(retryPause)
+			b.d.sleep(retryDelay)
 		}
 	}
 }
 
-func (b *bucket) dropLate(batch []*operation) []*operation {
+// dropExpired fails the operations past their deadline with ErrUnsettled and returns the others.
+// After Stop it fails all of them.
+func (b *bucket) dropExpired(batch []*operation) []*operation {
 	now := time.Now()
 	kept := batch[:0]
 	for _, op := range batch {
-		if op.until.After(now) && !b.d.stopped() {
+		if op.deadline.After(now) && !b.d.stopped() {
 			kept = append(kept, op)
 			continue
 		}
@@ -146,67 +148,67 @@
 	return kept
 }
 
-func latest(batch []*operation) time.Time {
+func latestDeadline(batch []*operation) time.Time {
 	var t time.Time
 	for _, op := range batch {
-		if op.until.After(t) {
-			t = op.until
+		if op.deadline.After(t) {
+			t = op.deadline
 		}
 	}
 	return t
 }
 
-// try makes one attempt. It returns nil only when every operation's result is
-// what the platform holds.
-func (b *bucket) try(ctx context.Context, batch []*operation) error {
+// tryCommit makes one attempt to commit a batch. It returns nil only when every operation's result
+// is what the platform stores.
+func (b *bucket) tryCommit(ctx context.Context, batch []*operation) error {
 	if err := b.load(ctx); err != nil {
 		return err
 	}
-	touched := make(map[*generation]*document)
+	modified := make(map[*generation]*storedGeneration)
 	for _, op := range batch {
-		g := b.find(op.key)
-		doc := touched[g]
+		g := b.generationOf(op.key)
+		doc := modified[g]
 		if doc == nil {
 			doc = g.doc.clone()
 		}
 		old := doc.Records[op.key]
 		next := op.apply(old)
 		if next == old && !g.fresh {
-			// A cached copy may be behind: an outcome may have been recorded
-			// since. What is not written over must be read.
-			if err := b.refresh(ctx, g); err != nil {
+			// A cached copy may be outdated, for example lack an outcome recorded since. A write
+			// would detect that by its compare-and-swap; without a write, read it again.
+			if err := b.readGeneration(ctx, g); err != nil {
 				return err
 			}
 			return storer.ErrConflict
 		}
 		if next != old {
 			doc.Records[op.key] = next
-			touched[g] = doc
+			modified[g] = doc
 		}
 		if next != nil {
 			op.result = *next
 		}
 	}
-	for g, doc := range touched {
-		if err := b.write(ctx, g, doc); err != nil {
+	for g, doc := range modified {
+		if err := b.writeGeneration(ctx, g, doc); err != nil {
 			return err
 		}
 	}
-	b.stale()
-	b.turn(ctx)
+	b.markStale()
+	b.sealIfDue(ctx)
 	return nil
 }
 
-// stale marks what is cached as possibly behind.
-func (b *bucket) stale() {
+// markStale marks every cached generation as possibly outdated.
+func (b *bucket) markStale() {
 	b.current.fresh = false
 	for _, g := range b.sealed {
 		g.fresh = false
 	}
 }
 
-// find returns the generation that holds a key, or the current one.
-func (b *bucket) find(key string) *generation {
+// generationOf returns the sealed generation that holds a key's record, or else the current one.
+func (b *bucket) generationOf(key string) *generation {
 	for _, g := range b.sealed {
 		if g.doc.Records[key] != nil {
 			return g
@@ -215,12 +217,12 @@
 	return &b.current
 }
 
-func (b *bucket) write(ctx context.Context, g *generation, doc *document) error {
+func (b *bucket) writeGeneration(ctx context.Context, g *generation, doc *storedGeneration) error {
 	if doc.StartedAt == 0 {
 		doc.StartedAt = b.d.Clock().UnixMilli()
 	}
 	value := encode(doc)
-	rev, err := b.d.Store.Swap(ctx, storer.Write{Key: b.key(g.number), Value: value, Expect: g.revision})
+	rev, err := b.d.Store.Swap(ctx, storer.Write{Key: b.generationKey(g.number), Value: value, Expect: g.revision})
 	if err != nil {
 		delete(b.sealed, g.number)
 		return err
@@ -229,60 +231,60 @@
 	return nil
 }
 
-// turn seals the current generation when it is full or old, and deletes those
-// past their retention. Its failures are left to the next commit.
-func (b *bucket) turn(ctx context.Context) {
+// sealIfDue seals the current generation when it is full or older than half the retention, and then
+// deletes generations past their retention. After a failure the next commit tries again.
+func (b *bucket) sealIfDue(ctx context.Context) {
 	doc := b.current.doc
 	full := len(doc.Records) >= sealRecords || b.current.size >= sealBytes
-	old := doc.StartedAt != 0 && b.d.age(doc.StartedAt) > b.d.Retention/2
-	if !full && !old {
+	aged := doc.StartedAt != 0 && b.d.age(doc.StartedAt) > b.d.Retention/2
+	if !full && !aged {
 		return
 	}
 	next := doc.clone()
 	next.Sealed, next.SealedAt = true, b.d.Clock().UnixMilli()
 	b.loaded = false
-	if err := b.write(ctx, &b.current, next); err == nil {
-		b.expire(ctx)
+	if err := b.writeGeneration(ctx, &b.current, next); err == nil {
+		b.deleteExpired(ctx)
 	}
 }
 
-// expire moves the pointer past the sealed generation and deletes generations
-// whose retention is over. The pointer goes first: a host that finds a key
-// gone reads the pointer before it would start that generation anew.
-func (b *bucket) expire(ctx context.Context) {
-	at, rev, err := b.readPointer(ctx)
+// deleteExpired moves the pointer past the generation just sealed and deletes generations past their
+// retention. It writes the pointer first: a host that finds a generation's key missing reads the
+// pointer before it would create that generation again.
+func (b *bucket) deleteExpired(ctx context.Context) {
+	ptr, rev, err := b.readPointer(ctx)
 	if err != nil {
 		return
 	}
-	var gone []*generation
-	next := pointer{Oldest: at.Oldest, Current: max(at.Current, b.current.number+1)}
-	for n := at.Oldest; n < b.current.number; n++ {
+	var expired []*generation
+	next := pointer{Oldest: ptr.Oldest, Current: max(ptr.Current, b.current.number+1)}
+	for n := ptr.Oldest; n < b.current.number; n++ {
 		g := b.sealed[n]
 		if g != nil && b.d.age(g.doc.SealedAt) < b.d.Retention {
 			break
 		}
 		if g != nil {
-			gone = append(gone, g)
+			expired = append(expired, g)
 		}
 		next.Oldest = n + 1
 	}
 	if _, err := b.d.Store.Swap(ctx, storer.Write{Key: b.pointerKey(), Value: encode(next), Expect: rev}); err != nil {
 		return
 	}
-	for _, g := range gone {
-		if _, err := b.d.Store.Swap(ctx, storer.Write{Key: b.key(g.number), Expect: g.revision, Delete: true}); err != nil {
+	for _, g := range expired {
+		if _, err := b.d.Store.Swap(ctx, storer.Write{Key: b.generationKey(g.number), Expect: g.revision, Delete: true}); err != nil {
 			b.d.Log.Debug().Int("bucket", b.id).Int("generation", g.number).Err(err).Msg("deduplicator: generation not deleted")
 		}
 		delete(b.sealed, g.number)
 	}
 }
 
-// load reads the pointer, the generations not cached, and the current one.
+// load reads the pointer, the sealed generations that are not cached, and the current generation.
 func (b *bucket) load(ctx context.Context) error {
 	if b.loaded {
 		return nil
 	}
-	at, _, err := b.readPointer(ctx)
+	ptr, _, err := b.readPointer(ctx)
 	if err != nil {
 		return err
 	}
@@ -290,62 +292,62 @@
 		b.sealed = make(map[int]*generation)
 	}
 	for n := range b.sealed {
-		if n < at.Oldest {
+		if n < ptr.Oldest {
 			delete(b.sealed, n)
 		}
 	}
-	for n := at.Oldest; ; n++ {
+	for n := ptr.Oldest; ; n++ {
 		if g := b.sealed[n]; g != nil {
 			continue
 		}
 		g := &generation{number: n}
-		if err := b.refresh(ctx, g); err != nil {
+		if err := b.readGeneration(ctx, g); err != nil {
 			return err
 		}
 		if g.doc.Sealed {
 			b.sealed[n] = g
 			continue
 		}
-		if n < at.Current {
+		if n < ptr.Current {
 			continue
 		}
 		if g.revision == 0 {
-			return b.start(ctx, g)
+			return b.createGeneration(ctx, g)
 		}
 		b.current, b.loaded = *g, true
 		return nil
 	}
 }
 
-// start makes an empty generation and has the bucket loaded again. A host was
-// paused for longer than the retention between reading the pointer and writing
-// its record: the generation was sealed, expired and deleted meanwhile, and its
-// record would have stood alone in a new one of the old number. So records only
-// go to a generation that existed when the pointer was read after it.
-func (b *bucket) start(ctx context.Context, g *generation) error {
-	_, err := b.d.Store.Swap(ctx, storer.Write{Key: b.key(g.number), Value: encode(g.doc)})
+// createGeneration creates an empty generation and returns storer.ErrConflict, so that the bucket is
+// loaded again before any record is written. Otherwise a host that is paused for longer than the
+// retention between reading the pointer and writing its record, while the generation is sealed and
+// deleted, would write that record to a new generation under the old number, where no other host
+// looks for it.
+func (b *bucket) createGeneration(ctx context.Context, g *generation) error {
+	_, err := b.d.Store.Swap(ctx, storer.Write{Key: b.generationKey(g.number), Value: encode(g.doc)})
 	if err != nil {
 		return err
 	}
 	return storer.ErrConflict
 }
 
-// age is how long ago a stamp was, by this host's wall clock.
+// age returns the time since a timestamp by this host's wall clock.
 func (d *Deduplicator) age(unixMilli int64) time.Duration {
 	return d.Clock().Sub(time.UnixMilli(unixMilli))
 }
 
-// refresh reads a generation; one that is absent is empty.
-func (b *bucket) refresh(ctx context.Context, g *generation) error {
-	e, err := b.d.Store.Get(ctx, b.key(g.number))
+// readGeneration reads a generation into g. One that does not exist is read as empty with revision 0.
+func (b *bucket) readGeneration(ctx context.Context, g *generation) error {
+	e, err := b.d.Store.Get(ctx, b.generationKey(g.number))
 	if errors.Is(err, storer.ErrNotFound) {
-		g.revision, g.doc, g.fresh = 0, &document{Records: make(map[string]*Record)}, true
+		g.revision, g.doc, g.fresh = 0, &storedGeneration{Records: make(map[string]*Record)}, true
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	doc := new(document)
+	doc := new(storedGeneration)
 	if err := decode(e.Value, doc); err != nil {
 		return err
 	}
@@ -356,20 +358,21 @@
 	return nil
 }
 
+// readPointer returns the bucket's pointer and its revision, both zero when none is stored.
 func (b *bucket) readPointer(ctx context.Context) (pointer, int64, error) {
-	var at pointer
+	var ptr pointer
 	e, err := b.d.Store.Get(ctx, b.pointerKey())
 	if errors.Is(err, storer.ErrNotFound) {
-		return at, 0, nil
+		return ptr, 0, nil
 	}
 	if err != nil {
-		return at, 0, err
+		return ptr, 0, err
 	}
-	return at, e.Revision, decode(e.Value, &at)
+	return ptr, e.Revision, decode(e.Value, &ptr)
 }
 
 func (b *bucket) pointerKey() string { return fmt.Sprintf("idempotency/%d", b.id) }
 
-func (b *bucket) key(generation int) string {
+func (b *bucket) generationKey(generation int) string {
 	return fmt.Sprintf("idempotency/%d/%d", b.id, generation)
 }
--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -1,10 +1,9 @@
 // Package deduplicator runs calls that are not idempotent at most once.
 //
-// Before a call is dispatched its record is put into the platform by
-// compare-and-swap; the record's nonce is what the dispatch goes out under. A
-// repeat finds the record and gets the recorded outcome, or is told that the
-// call is running or that its outcome is not known. Safety stands in the
-// compare-and-swap alone; which host writes a record only matters for speed.
+// Before a call is dispatched, a record of it is written to the platform by compare-and-swap, and
+// the call is dispatched under the record's nonce. A repeat finds the record and gets the recorded
+// outcome, or an error that the call is running or that its outcome is unknown. Safety depends on
+// the compare-and-swap alone; which host writes a record only affects latency.
 package deduplicator
 
 import (
@@ -23,35 +22,37 @@
 )
 
 var (
-	// ErrUnsettled means the record could not be written in time; the call was
-	// not run and never will be under its nonce.
+	// ErrUnsettled means that the call's record could not be written in time. The call did not run
+	// and never will under its nonce.
 	ErrUnsettled = errors.New("deduplicator: platform did not answer in time")
-	// ErrNotDispatched means that no byte was sent, and none will be.
+	// ErrNotDispatched means that no byte of the call was sent, and none will be.
 	ErrNotDispatched = errors.New("deduplicator: not dispatched")
-	// ErrKeyReused means the key came before with another request.
+	// ErrKeyReused means that the key was used before with a different request.
 	ErrKeyReused = errors.New("deduplicator: key used for another request")
-	// ErrRunning means the call is running now.
+	// ErrRunning means that an earlier request with the key is running, or that its outcome could
+	// not be read now.
 	ErrRunning = errors.New("deduplicator: call is running")
-	// ErrUnknown means the call may have run, and is never run again.
+	// ErrUnknown means that the call may have run; it is never run again.
 	ErrUnknown = errors.New("deduplicator: outcome unknown")
 )
 
-// inlineBytes is the largest body kept in the record itself; a larger one gets
-// a key of its own.
-const inlineBytes = 1 << 10
+// maxInlineBody is the size in bytes of the largest body stored in the record itself. A larger body
+// is stored under its own key.
+const maxInlineBody = 1 << 10
 
-// Asker asks the host that wrote a record what became of it.
+// Asker queries the host that claimed a call.
 type Asker interface {
-	// Ask returns an error when the host can't be reached, or is not the one
-	// that claimed: the outcome is unknown then.
+	// Ask returns what Answer returns on the host that wrote the record. It returns an error when
+	// the host can't be reached or is no longer the one that claimed the call; the outcome is then
+	// unknown.
 	Ask(ctx context.Context, rec Record) (running, abandoned bool, err error)
 }
 
-// Dispatch sends the call once. sent is false only when no upstream was sent
-// any byte. known is false when it was sent and the answer did not come whole.
+// Dispatch sends the call once. sent is false only when no byte was sent to any upstream. known is
+// false when the call was sent but its answer did not arrive completely.
 type Dispatch func(ctx context.Context) (out Outcome, sent, known bool)
 
-// Call is one request that is not idempotent.
+// Call identifies one request that is not idempotent.
 type Call struct {
 	RequestID string
 	// Key is a hash of workspace, service, call and idempotency key.
@@ -60,39 +61,40 @@
 	Digest string
 }
 
-// Deduplicator is safe for concurrent use. The fields are set before Start.
+// Deduplicator runs each call at most once across all hosts that share its Store. It is safe for
+// concurrent use. The exported fields are set before Start.
 type Deduplicator struct {
 	Store storer.Store
-	// Host and Incarnation name this process in records, Address is where other
-	// hosts ask it.
+	// Host and Incarnation identify this process in records. Address is where other hosts can query
+	// it.
 	Host        string
 	Incarnation int64
 	Address     string
 	Asker       Asker
 	Checker     *checker.Checker
 	Log         zerolog.Logger
-	// Buckets is how many hash ranges there are; the same on every host.
+	// Buckets is the number of hash ranges of keys. It must be the same on every host.
 	Buckets int
-	// Retention is how long a record is kept at the least.
+	// Retention is the minimum time that a record is kept.
 	Retention time.Duration
-	// Patience is how long a caller waits for a record to be written.
+	// Patience is the longest that a caller waits for a record to be written.
 	Patience time.Duration
-	// Clock is this host's wall clock, which may be wrong; nil means time.Now.
-	// Only the expiry of records goes by it.
+	// Clock is this host's wall clock, which may be wrong; nil means time.Now. Only the expiry of
+	// records depends on it.
 	Clock func() time.Time
 
 	buckets []*bucket
 	mu      sync.Mutex
-	// live holds the nonces of this process that may yet be dispatched, were
-	// dispatched, or whose outcome isn't recorded.
-	live map[string]bool
-	wg   sync.WaitGroup
-	done chan struct{}
+	// liveNonces holds the nonces of this process that may still be dispatched, and those that were
+	// dispatched and whose outcome is not recorded yet.
+	liveNonces map[string]bool
+	wg         sync.WaitGroup
+	done       chan struct{}
 }
 
-// Start makes the buckets; call it before any other method.
+// Start creates the buckets. Call it before any other method.
 func (d *Deduplicator) Start() {
-	d.live = make(map[string]bool)
+	d.liveNonces = make(map[string]bool)
 	d.done = make(chan struct{})
 	if d.Clock == nil {
 		d.Clock = time.Now
@@ -102,18 +104,17 @@
 	}
 }
 
-// Pending is how many calls of this process have no recorded outcome yet.
+// Pending returns the number of calls of this process without a recorded outcome.
 func (d *Deduplicator) Pending() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.live)
+	return len(d.liveNonces)
 }
 
-// Wait blocks until every outcome of this process is recorded or given up on.
+// Wait blocks until every outcome of this process is recorded, or abandoned because of Stop.
 func (d *Deduplicator) Wait() { d.wg.Wait() }
 
-// Stop gives up what is not recorded yet; repeats of those calls will be told
-// that the outcome is unknown.
+// Stop abandons the outcomes that are not recorded yet. Repeats of those calls get ErrUnknown.
 func (d *Deduplicator) Stop() { close(d.done) }
 
 func (d *Deduplicator) stopped() bool {
@@ -125,7 +126,7 @@
 	}
 }
 
-// sleep waits, or ends early at Stop.
+// sleep waits for t or until Stop.
 func (d *Deduplicator) sleep(t time.Duration) {
 	select {
 	case <-d.done:
@@ -133,16 +134,16 @@
 	}
 }
 
-// Do runs a call, or returns the recorded outcome of an earlier run. ran is
-// false when this call sent no byte.
+// Do runs a call, or returns the recorded outcome of an earlier run. ran is false when this
+// invocation sent no byte of it.
 func (d *Deduplicator) Do(ctx context.Context, c Call, dispatch Dispatch) (out Outcome, ran bool, err error) {
 	nonce := rand.Text()
-	d.hold(nonce)
+	d.addLive(nonce)
 	rec, running, err := d.claim(ctx, c, nonce)
 	if err != nil || rec.Nonce != nonce {
-		// Whether or not the record got written, this nonce is never dispatched;
-		// once it isn't live, a repeat that asks is told so and takes over.
-		d.drop(nonce)
+		// Whether or not the record was written, this nonce is never dispatched. Once the nonce is no
+		// longer live, a repeat that queries this host learns so and takes the record over.
+		d.removeLive(nonce)
 		if err != nil {
 			return Outcome{}, false, fmt.Errorf("%w: %w", ErrUnsettled, err)
 		}
@@ -152,31 +153,33 @@
 	return d.dispatch(ctx, c, rec, dispatch)
 }
 
-// claim returns the record that holds the key. It has the nonce when this call
-// may be dispatched. running tells that the host which claimed it says it runs.
+// claim returns the record stored for the key. When it has the given nonce, this call may be
+// dispatched. running reports that the host which claimed it answers that it is running.
 func (d *Deduplicator) claim(ctx context.Context, c Call, nonce string) (rec Record, running bool, err error) {
-	takeOver := ""
+	abandonedNonce := ""
 	for {
-		rec, err = d.insert(ctx, c, nonce, takeOver)
+		rec, err = d.insert(ctx, c, nonce, abandonedNonce)
 		if err != nil || rec.Nonce == nonce || rec.State != StateClaimed || rec.Digest != c.Digest {
 			return rec, false, err
 		}
-		running, abandoned := d.ask(ctx, rec)
+		running, abandoned := d.queryClaim(ctx, rec)
 		if !abandoned {
 			return rec, running, nil
 		}
-		takeOver = rec.Nonce
+		abandonedNonce = rec.Nonce
 	}
 }
 
-func (d *Deduplicator) insert(ctx context.Context, c Call, nonce, takeOver string) (Record, error) {
-	mine := &Record{Key: c.Key, Digest: c.Digest, Nonce: nonce, Host: d.Host, Incarnation: d.Incarnation, Address: d.Address}
+// insert stores a record with the given nonce where the key has none, or one that is abandoned or
+// has abandonedNonce. It returns the record stored afterwards.
+func (d *Deduplicator) insert(ctx context.Context, c Call, nonce, abandonedNonce string) (Record, error) {
+	claim := &Record{Key: c.Key, Digest: c.Digest, Nonce: nonce, Host: d.Host, Incarnation: d.Incarnation, Address: d.Address}
 	op := &operation{key: c.Key, apply: func(old *Record) *Record {
 		switch {
-		case old == nil, old.Nonce == takeOver && old.State == StateClaimed:
-			return mine
+		case old == nil, old.Nonce == abandonedNonce && old.State == StateClaimed:
+			return claim
 		case old.State == StateAbandoned && old.Digest == c.Digest:
-			return mine
+			return claim
 		default:
 			return old
 		}
@@ -185,41 +188,42 @@
 	return op.result, err
 }
 
-// ask is Answer of the host that wrote a record. One that can't be asked says
-// neither.
-func (d *Deduplicator) ask(ctx context.Context, rec Record) (running, abandoned bool) {
+// queryClaim returns the result of Answer on the host that wrote a record, and false for both when
+// that host can't be queried.
+func (d *Deduplicator) queryClaim(ctx context.Context, rec Record) (running, abandoned bool) {
 	if rec.Host == d.Host {
 		return d.Answer(rec.Incarnation, rec.Nonce)
 	}
 	running, abandoned, err := d.Asker.Ask(ctx, rec)
 	if err != nil {
-		d.Log.Info().Str("host", rec.Host).Err(err).Msg("deduplicator: host of a record can't be asked")
+		d.Log.Info().Str("host", rec.Host).Err(err).Msg("deduplicator: host that claimed a call can't be queried")
 		return false, false
 	}
 	return running, abandoned
 }
 
-// Answer tells another host what became of a nonce of this one. A nonce that
-// isn't live was never dispatched, or its outcome is recorded; the asker then
-// takes the record over by compare-and-swap, which fails in the latter case.
+// Answer reports to another host the state of a nonce of this process. A nonce that isn't live was
+// never dispatched, or its outcome is recorded. The other host then takes the record over by
+// compare-and-swap, which fails in the latter case. After a restart, with another incarnation, both
+// results are false: the state is unknown.
 func (d *Deduplicator) Answer(incarnation int64, nonce string) (running, abandoned bool) {
 	if incarnation != d.Incarnation {
 		return false, false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	running = d.live[nonce]
+	running = d.liveNonces[nonce]
 	return running, !running
 }
 
-// replay answers a repeat from the record of the first.
+// replay answers a repeated call from the record of the first.
 func (d *Deduplicator) replay(ctx context.Context, c Call, rec Record, running bool) (Outcome, error) {
 	if rec.Digest != c.Digest {
 		return Outcome{}, ErrKeyReused
 	}
 	switch rec.State {
 	case StateDone:
-		return d.outcome(ctx, rec)
+		return d.loadOutcome(ctx, rec)
 	case StateUnknown:
 		return Outcome{}, ErrUnknown
 	case StateClaimed, StateAbandoned:
@@ -230,7 +234,7 @@
 	return Outcome{}, ErrUnknown
 }
 
-func (d *Deduplicator) outcome(ctx context.Context, rec Record) (Outcome, error) {
+func (d *Deduplicator) loadOutcome(ctx context.Context, rec Record) (Outcome, error) {
 	out := *rec.Outcome
 	if out.Body != nil || !out.Apart {
 		return out, nil
@@ -247,54 +251,56 @@
 }
 
 func (d *Deduplicator) dispatch(ctx context.Context, c Call, rec Record, send Dispatch) (Outcome, bool, error) {
-	// A host was paused between its claim and its dispatch, for as long as the
-	// caller's deadline and more. The caller has gone to another host, which
-	// can't ask this one; so what was not sent in time is not sent at all.
+	// When this host is paused between claim and dispatch for longer than the caller's deadline, the
+	// caller may have repeated the call through another host, which can't query this one meanwhile.
+	// So a call that was not sent in time is not sent at all.
 	if ctx.Err() != nil {
-		d.finish(rec, StateAbandoned, nil)
+		d.recordOutcome(rec, StateAbandoned, nil)
 		return Outcome{}, false, ErrUnsettled
 	}
-	d.Checker.Assert(d.isLive(rec.Nonce), checker.InvariantAtMostOnce, c.RequestID, "dispatch under nonce %s that was given up", rec.Nonce)
+	d.Checker.Assert(d.isLive(rec.Nonce), checker.InvariantAtMostOnce, c.RequestID, "dispatch under nonce %s, which is not live", rec.Nonce)
 	out, sent, known := send(ctx)
 	switch {
 	case !sent:
-		d.finish(rec, StateAbandoned, nil)
+		d.recordOutcome(rec, StateAbandoned, nil)
 		return Outcome{}, false, ErrNotDispatched
 	case !known:
-		d.finish(rec, StateUnknown, nil)
+		d.recordOutcome(rec, StateUnknown, nil)
 		return Outcome{}, true, ErrUnknown
 	default:
-		d.finish(rec, StateDone, &out)
+		d.recordOutcome(rec, StateDone, &out)
 		return out, true, nil
 	}
 }
 
-// finish records what became of a call, and keeps trying when the platform is
-// out. The nonce stays live until then, so a repeat is told that it runs. The
-// caller's answer waits a moment for the record, so that a repeat that follows
-// it finds the outcome, and the loss of this host doesn't make it unknown.
-func (d *Deduplicator) finish(rec Record, st State, out *Outcome) {
-	const moment = 250 * time.Millisecond
+// recordOutcome records the final state of a call in the background and retries while the platform
+// is unavailable. The nonce stays live until then, so a repeat gets ErrRunning. The caller's answer
+// waits up to maxRecordWait for the record, so that a repeat after the answer finds the outcome, and
+// the loss of this host does not make it unknown.
+func (d *Deduplicator) recordOutcome(rec Record, st State, out *Outcome) {
+	const maxRecordWait = 250 * time.Millisecond
 	recorded := make(chan struct{})
 	defer func() {
 		select {
 		case <-recorded:
-		case <-time.After(moment):
+		case <-time.After(maxRecordWait):
 		}
 	}()
 	d.wg.Go(func() {
 		defer close(recorded)
-		if out != nil && len(out.Body) > inlineBytes {
-			out = d.storeApart(rec, *out)
+		if out != nil && len(out.Body) > maxInlineBody {
+			out = d.storeBody(rec, *out)
 		}
-		for !d.stopped() && !d.record(rec, st, out) {
+		for !d.stopped() && !d.writeOutcome(rec, st, out) {
 			d.sleep(time.Second)
 		}
-		d.drop(rec.Nonce)
+		d.removeLive(rec.Nonce)
 	})
 }
 
-func (d *Deduplicator) record(rec Record, st State, out *Outcome) bool {
+// writeOutcome makes one attempt to write the final state of a call. It reports whether the commit
+// succeeded, also when the record is no longer held under this nonce.
+func (d *Deduplicator) writeOutcome(rec Record, st State, out *Outcome) bool {
 	op := &operation{key: rec.Key, apply: func(old *Record) *Record {
 		if old == nil || old.Nonce != rec.Nonce || old.State != StateClaimed {
 			return old
@@ -306,9 +312,10 @@
 	return d.bucketOf(rec.Key).submit(context.Background(), op) == nil
 }
 
-// storeApart puts a large body under a key of its own, before the record that
-// speaks of it.
-func (d *Deduplicator) storeApart(rec Record, out Outcome) *Outcome {
+// storeBody stores a large body under its own key, before the record that refers to it is written.
+// A body that is larger than storer.MaxValue, or can't be stored in five attempts, is missing, and
+// repeats of the call get ErrUnknown.
+func (d *Deduplicator) storeBody(rec Record, out Outcome) *Outcome {
 	body := out.Body
 	out.Body, out.Apart = nil, true
 	if len(body) > storer.MaxValue {
@@ -332,20 +339,20 @@
 	return d.buckets[xxhash.Sum64String(key)%uint64(len(d.buckets))]
 }
 
-func (d *Deduplicator) hold(nonce string) {
+func (d *Deduplicator) addLive(nonce string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.live[nonce] = true
+	d.liveNonces[nonce] = true
 }
 
-func (d *Deduplicator) drop(nonce string) {
+func (d *Deduplicator) removeLive(nonce string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.live, nonce)
+	delete(d.liveNonces, nonce)
 }
 
 func (d *Deduplicator) isLive(nonce string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.live[nonce]
+	return d.liveNonces[nonce]
 }
--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -20,7 +20,7 @@
 
 const retention = 10 * time.Minute
 
-// fleet is some deduplicators that ask each other.
+// fleet is a set of deduplicators that query each other directly.
 type fleet struct {
 	t     *testing.T
 	store storer.Store
@@ -35,7 +35,7 @@
 	return &fleet{t: t, store: store, buckets: 2, hosts: make(map[string]*deduplicator.Deduplicator), runs: make(map[string]int)}
 }
 
-// start makes a host, in place of one that is thought to have died.
+// start starts a host, and stops the one that had this name before.
 func (f *fleet) start(name string, incarnation int64, skew time.Duration) *deduplicator.Deduplicator {
 	d := &deduplicator.Deduplicator{
 		Store: f.store, Host: name, Incarnation: incarnation, Asker: f, Buckets: f.buckets, Retention: retention, Patience: 3 * time.Second,
@@ -75,8 +75,8 @@
 	}
 }
 
-// sent makes a dispatch that counts a run, and takes a while.
-func (f *fleet) sent(key string, took time.Duration, known bool) deduplicator.Dispatch {
+// countedDispatch returns a dispatch that counts a run of key and takes the given time.
+func (f *fleet) countedDispatch(key string, took time.Duration, known bool) deduplicator.Dispatch {
 	return func(context.Context) (deduplicator.Outcome, bool, bool) {
 		f.mu.Lock()
 		f.runs[key]++
@@ -86,7 +86,7 @@
 	}
 }
 
-func notSent(context.Context) (deduplicator.Outcome, bool, bool) {
+func failedDispatch(context.Context) (deduplicator.Outcome, bool, bool) {
 	return deduplicator.Outcome{}, false, false
 }
 
@@ -105,8 +105,8 @@
 	return deduplicator.Call{RequestID: "r", Key: key, Digest: "d"}
 }
 
-// TestRandomRepeats guards against a call that runs twice while clocks differ, the
-// platform fails and hosts are replaced.
+// TestRandomRepeats guards against a call that runs twice while clocks differ, the platform fails
+// and hosts are replaced.
 func TestRandomRepeats(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -131,7 +131,7 @@
 	var wg sync.WaitGroup
 	var lossMu sync.Mutex
 	loss := rand.New(rand.NewPCG(seed, 2))
-	lose := func(storer.Write) bool {
+	loseAnswer := func(storer.Write) bool {
 		lossMu.Lock()
 		defer lossMu.Unlock()
 		return loss.IntN(3) == 0
@@ -143,9 +143,9 @@
 			host, kind, took := fmt.Sprint("h", rnd.IntN(3)), rnd.IntN(5), time.Duration(rnd.IntN(3000))*time.Millisecond
 			wg.Go(func() {
 				time.Sleep(after)
-				dispatch := f.sent(key, took, kind != 1)
+				dispatch := f.countedDispatch(key, took, kind != 1)
 				if kind == 0 {
-					dispatch = notSent
+					dispatch = failedDispatch
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 				defer cancel()
@@ -159,7 +159,7 @@
 		case 0:
 			platform.SetFaults(faker.Faults{Out: true})
 		case 1:
-			platform.SetFaults(faker.Faults{LoseAnswer: lose})
+			platform.SetFaults(faker.Faults{LoseAnswer: loseAnswer})
 		case 2:
 			platform.SetFaults(faker.Faults{Delay: 2 * time.Second})
 		case 3:
@@ -178,8 +178,8 @@
 	t.Logf("seed %d: %d of %d calls ran, %d keys, %d bytes", seed, len(f.runs), calls, keys, bytes)
 }
 
-// TestTurnOfGeneration. A generation of records is sealed between a call and its
-// repeat. The repeat went to the new generation, found no record and ran again.
+// TestTurnOfGeneration guards against a repeat that runs again because the generation that holds the
+// record was sealed in between and the repeat only looked at the new one.
 func TestTurnOfGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, new(faker.Platform))
@@ -188,13 +188,13 @@
 		is := is.New(t)
 		for n := range 350 {
 			key := fmt.Sprint("k", n)
-			_, ran, err := a.Do(t.Context(), call(key), f.sent(key, 0, true))
+			_, ran, err := a.Do(t.Context(), call(key), f.countedDispatch(key, 0, true))
 			is.NoErr(err)
 			is.True(ran)
 		}
 		for n := range 350 {
 			key := fmt.Sprint("k", n)
-			out, ran, err := b.Do(t.Context(), call(key), f.sent(key, 0, true))
+			out, ran, err := b.Do(t.Context(), call(key), f.countedDispatch(key, 0, true))
 			is.NoErr(err)
 			is.True(!ran)
 			is.Equal(string(out.Body), "ran "+key)
@@ -204,8 +204,8 @@
 	})
 }
 
-// TestExpiry runs calls for hours; records past their retention must go, and
-// whole generations with them.
+// TestExpiry runs calls for hours. Records past their retention must be deleted, together with their
+// whole generation.
 func TestExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := new(faker.Platform)
@@ -213,7 +213,7 @@
 		d := f.start("a", 1, 0)
 		for n := range 2000 {
 			key := fmt.Sprint("k", n)
-			_, _, err := d.Do(t.Context(), call(key), f.sent(key, 0, true))
+			_, _, err := d.Do(t.Context(), call(key), f.countedDispatch(key, 0, true))
 			is.New(t).NoErr(err)
 			time.Sleep(5 * time.Second)
 		}
@@ -224,44 +224,44 @@
 	})
 }
 
-// slow is a store whose swaps can be held back, as a paused host holds them.
-type slow struct {
+// blockingStore is a store whose swaps wait until unblock is closed, and then take effect even if
+// their context has ended, as the writes of a paused host can. A nil unblock does not block.
+type blockingStore struct {
 	storer.Store
-	mu   sync.Mutex
-	hold chan struct{}
+	mu      sync.Mutex
+	unblock chan struct{}
 }
 
-func (s *slow) Swap(ctx context.Context, w storer.Write) (int64, error) {
+func (s *blockingStore) Swap(ctx context.Context, w storer.Write) (int64, error) {
 	s.mu.Lock()
-	hold := s.hold
+	unblock := s.unblock
 	s.mu.Unlock()
-	if hold != nil {
-		<-hold
+	if unblock != nil {
+		<-unblock
 	}
 	return s.Store.Swap(context.WithoutCancel(ctx), w)
 }
 
-// TestLateWrite. A host gives a call up because the platform doesn't answer, and
-// tells its caller "not run". The write takes effect later all the same. The
-// repeat through another host must run, once, and the first must not.
+// TestLateWrite guards against a write that takes effect after its call was refused as not run: the
+// repeat through another host must then run once, and the first call must not.
 func TestLateWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := new(faker.Platform)
 		f := newFleet(t, platform)
-		late := &slow{Store: platform, hold: make(chan struct{})}
-		f.store = late
+		blocked := &blockingStore{Store: platform, unblock: make(chan struct{})}
+		f.store = blocked
 		a := f.start("a", 1, 0)
 		f.store = platform
 		b := f.start("b", 1, 0)
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		_, ran, err := a.Do(ctx, call("k"), f.sent("k", 0, true))
+		_, ran, err := a.Do(ctx, call("k"), f.countedDispatch("k", 0, true))
 		is.True(errors.Is(err, deduplicator.ErrUnsettled))
 		is.True(!ran)
-		close(late.hold)
+		close(blocked.unblock)
 		time.Sleep(10 * time.Second)
-		_, ran, err = b.Do(t.Context(), call("k"), f.sent("k", 0, true))
+		_, ran, err = b.Do(t.Context(), call("k"), f.countedDispatch("k", 0, true))
 		is.NoErr(err)
 		is.True(ran)
 		f.stop()
--- a/deduplicator/record.go
+++ b/deduplicator/record.go
@@ -7,63 +7,64 @@
 
 //go:generate enumer -type State -trimprefix State -transform title-lower -json -output state_gen.go
 
-// State is how far a call has come.
+// State is the progress of a call.
 type State int
 
 // The states of a record.
 const (
-	// StateClaimed: a host may dispatch it, has, or had.
+	// StateClaimed: a host may dispatch the call, or has dispatched it and recorded no outcome yet.
 	StateClaimed State = iota
-	// StateAbandoned: its host gave it up before any byte was sent.
+	// StateAbandoned: the host that claimed the call gave it up before it sent any byte.
 	StateAbandoned
-	// StateDone: it ran and its outcome is known.
+	// StateDone: the call ran and its outcome is recorded.
 	StateDone
-	// StateUnknown: it was sent, and what became of it is not known.
+	// StateUnknown: the call was sent, and its outcome is unknown.
 	StateUnknown
 )
 
-// Outcome is the answer of a call, kept for repeats.
+// Outcome is the answer to a call, stored to answer repeats.
 type Outcome struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Apart is set when the body is under a key of its own.
+	// Apart is set when Body is too large for the record and is stored under its own key.
 	Apart bool `json:"apart,omitempty"`
 }
 
-// Record is one call that is not idempotent.
+// Record is the stored state of one call that is not idempotent.
 type Record struct {
 	// Key is a hash of workspace, service, call and idempotency key.
 	Key string `json:"key"`
-	// Digest is a hash of the request, so that a key used for another request
-	// is noticed.
+	// Digest is a hash of the request. It detects a key that is reused for another request.
 	Digest string `json:"digest"`
-	// Nonce is new for every try to claim.
+	// Nonce is unique to each attempt to claim the call.
 	Nonce string `json:"nonce"`
-	// Host and Incarnation are who claimed it.
+	// Host and Incarnation identify the process that claimed the call.
 	Host        string `json:"host"`
 	Incarnation int64  `json:"incarnation"`
-	// Address is where that host can be asked by one that has not heard of it;
-	// empty in records of earlier versions.
+	// Address is where a host that does not know Host yet can query it. It is empty in records
+	// written by earlier versions.
 	Address string `json:"address,omitempty"`
 	State   State  `json:"state"`
 	// Outcome is set when State is StateDone.
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
-// document is one generation of a bucket, the value of one key in the platform.
-type document struct {
-	// Sealed generations take no new record, for ever; updates of the records
-	// they hold go on.
+// storedGeneration is one generation of a bucket, stored as the value of one key in the platform.
+type storedGeneration struct {
+	// Sealed is set once the generation takes no new records. It is never cleared; records that the
+	// generation holds can still be updated.
 	Sealed bool `json:"sealed,omitempty"`
-	// SealedAt is in Unix milliseconds by the sealer's clock.
+	// SealedAt is when it was sealed, in Unix milliseconds by the clock of the host that sealed it.
 	SealedAt int64 `json:"sealedAt,omitempty"`
-	// StartedAt is when the first record came.
+	// StartedAt is when its first record was written, in Unix milliseconds by the writing host's
+	// clock; 0 before.
 	StartedAt int64              `json:"startedAt,omitempty"`
 	Records   map[string]*Record `json:"records"`
 }
 
-// pointer says where a bucket's generations begin and end.
+// pointer holds the number of a bucket's oldest generation, and the lowest number of a generation
+// that may take new records.
 type pointer struct {
 	Oldest  int `json:"oldest"`
 	Current int `json:"current"`
@@ -84,7 +85,7 @@
 	return out
 }
 
-func (d *document) clone() *document {
+func (d *storedGeneration) clone() *storedGeneration {
 	out := *d
 	out.Records = make(map[string]*Record, len(d.Records))
 	for k, r := range d.Records {
