--- a/placer/cover.go
+++ b/placer/cover.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// cover counts the members that hold each layer.
-type cover struct{ n []int }
+// coverage counts the members that hold each layer.
+type coverage struct{ count []int }
 
-func newCover(m Model) *cover { return &cover{n: make([]int, m.Layers)} }
+func newCoverage(m Model) *coverage { return &coverage{count: make([]int, m.Layers)} }
 
-func (c *cover) add(s Span, by int) {
-	for l := max(0, s.From); l < min(s.To, len(c.n)); l++ {
-		c.n[l] += by
+func (c *coverage) add(s Span, delta int) {
+	for l := max(0, s.From); l < min(s.To, len(c.count)); l++ {
+		c.count[l] += delta
 	}
 }
 
-// gap is the first range of layers that nobody holds.
-func (c *cover) gap() Span {
-	from := slices.Index(c.n, 0)
+// firstGap is the first range of layers that nobody holds.
+func (c *coverage) firstGap() Span {
+	from := slices.Index(c.count, 0)
 	if from < 0 {
 		return Span{}
 	}
 	to := from
-	for to < len(c.n) && c.n[to] == 0 {
+	for to < len(c.count) && c.count[to] == 0 {
 		to++
 	}
 	return Span{from, to}
 }
 
-// spare reports whether others than its holder hold every layer of a span.
-func (c *cover) spare(s Span) bool {
-	for l := s.From; l < min(s.To, len(c.n)); l++ {
-		if c.n[l] < 2 {
+// redundant reports whether others than its holder hold every layer of a span.
+func (c *coverage) redundant(s Span) bool {
+	for l := s.From; l < min(s.To, len(c.count)); l++ {
+		if c.count[l] < 2 {
 			return false
 		}
 	}
--- a/placer/divisions.go
+++ b/placer/divisions.go
@@ -6,92 +6,92 @@
 )
 
 const (
-	// atOnceGrowth is the step between two numbers of requests at once that
+	// concurrencyGrowth is the step between two numbers of requests at once that
 	// layouts are tried for.
-	atOnceGrowth = 1.12
-	// built is how many ways to share the layers are laid out in full.
-	built = 40
-	// mostDivisions bounds the ways to divide the layers that are tried, for
+	concurrencyGrowth = 1.12
+	// maxLayoutsBuilt is how many ways to share the layers are laid out in full.
+	maxLayoutsBuilt = 40
+	// maxPartitions bounds the ways to divide the layers that are tried, for
 	// fleets of many kinds.
-	mostDivisions = 900
+	maxPartitions = 900
 )
 
-// division is a way to share the layers among bands for some requests at once.
-type division struct {
-	atOnce float64
+// partition is a way to share the layers among bands for some requests at once.
+type partition struct {
+	concurrency float64
 	// layers are those of each band. One without any stands beside the others.
 	layers []int
 	// rate is about what it bears; twice is set where each band holds its layers
 	// twice or more.
-	rate  float64
-	twice bool
+	rate      float64
+	redundant bool
 }
 
-// divisions are the ways that bear most, and among those that hold every layer
+// bestPartitions are the ways that bear most, and among those that hold every layer
 // twice the ones that bear most.
-func divisions(m Model, members []Member, bands []band) []division {
+func bestPartitions(m Model, members []Member, bands []band) []partition {
 	step := 1
-	for ways(m.Layers/step, len(bands)-1) > mostDivisions {
+	for countPartitions(m.Layers/step, len(bands)-1) > maxPartitions {
 		step++
 	}
-	var all []division
-	for atOnce := float64(leastRequests); atOnce <= mostRequests; atOnce *= atOnceGrowth {
+	var all []partition
+	for concurrency := float64(minRequests); concurrency <= maxRequests; concurrency *= concurrencyGrowth {
 		tables := make([][]int, len(bands))
 		for k, b := range bands {
-			tables[k] = rowTable(m, members, b, atOnce)
+			tables[k] = rowCounts(m, members, b, concurrency)
 		}
-		share(m.Layers, step, tables, nil, func(layers []int) {
-			d := division{atOnce: atOnce, layers: slices.Clone(layers), twice: true}
-			t := 0.0
+		enumeratePartitions(m.Layers, step, tables, nil, func(layers []int) {
+			p := partition{concurrency: concurrency, layers: slices.Clone(layers), redundant: true}
+			stepTime := 0.0
 			for k, b := range bands {
 				if layers[k] == 0 {
 					continue
 				}
 				n := tables[k][layers[k]]
-				d.twice = d.twice && n > 1
-				t += members[b[0]].Pace * float64(layers[k]) / float64(m.Layers) * (m.Step + m.Request*atOnce/float64(n))
+				p.redundant = p.redundant && n > 1
+				stepTime += members[b[0]].Pace * float64(layers[k]) / float64(m.Layers) * (m.Step + m.Request*concurrency/float64(n))
 			}
-			d.rate = atOnce / t
-			all = append(all, d)
+			p.rate = concurrency / stepTime
+			all = append(all, p)
 		})
 	}
-	slices.SortFunc(all, func(a, b division) int { return cmp.Compare(b.rate, a.rate) })
-	var out []division
-	rest, twice := 0, 0
-	for _, d := range all {
+	slices.SortFunc(all, func(a, b partition) int { return cmp.Compare(b.rate, a.rate) })
+	var out []partition
+	other, redundant := 0, 0
+	for _, p := range all {
 		switch {
-		case d.twice && twice < built:
-			twice++
-		case rest < built:
-			rest++
+		case p.redundant && redundant < maxLayoutsBuilt:
+			redundant++
+		case other < maxLayoutsBuilt:
+			other++
 		default:
 			continue
 		}
-		out = append(out, d)
+		out = append(out, p)
 	}
 	return out
 }
 
-// share calls found with every way to share layers among bands that hold them, in
+// enumeratePartitions calls found with every way to share layers among bands that hold them, in
 // steps but for the last one.
-func share(left, step int, tables [][]int, layers []int, found func(layers []int)) {
+func enumeratePartitions(remaining, step int, tables [][]int, layers []int, visit func(layers []int)) {
 	table := tables[len(layers)]
 	if len(layers) == len(tables)-1 {
-		if left == 0 || table[left] > 0 {
-			found(append(layers, left))
+		if remaining == 0 || table[remaining] > 0 {
+			visit(append(layers, remaining))
 		}
 		return
 	}
-	for n := 0; n <= left && (n == 0 || table[n] > 0); n += step {
-		share(left-n, step, tables, append(layers, n), found)
+	for n := 0; n <= remaining && (n == 0 || table[n] > 0); n += step {
+		enumeratePartitions(remaining-n, step, tables, append(layers, n), visit)
 	}
 }
 
-// rowTable is how often a band holds any number of layers.
-func rowTable(m Model, members []Member, b band, atOnce float64) []int {
+// rowCounts is how often a band holds any number of layers.
+func rowCounts(m Model, members []Member, b band, concurrency float64) []int {
 	out := make([]int, m.Layers+1)
-	for n := min(len(b), copies); n > 0; n-- {
-		sizes := sizesOf(m, members, b, atOnce/float64(n)/fill)
+	for n := min(len(b), maxRows); n > 0; n-- {
+		sizes := layerCapacities(m, members, b, concurrency/float64(n)/targetUtilization)
 		for l := 1; l <= m.Layers; l++ {
 			if out[l] == 0 && len(rowEnds(sizes, l)) >= n {
 				out[l] = n
@@ -101,8 +101,8 @@
 	return out
 }
 
-// ways is about how many ways there are to cut n layers k times.
-func ways(n, k int) float64 {
+// countPartitions is about how many ways there are to cut n layers k times.
+func countPartitions(n, k int) float64 {
 	out := 1.0
 	for i := range k {
 		out *= float64(n+1+i) / float64(i+1)
--- a/placer/gaps.go
+++ b/placer/gaps.go
@@ -6,65 +6,65 @@
 )
 
 const (
-	// fillerRequests is the room that a card keeps when it takes the layers of
+	// repairRequests is the room that a card keeps when it takes the layers of
 	// another: less than planned, as those beside it have more.
-	fillerRequests = 48
-	// spareAfter is how long an empty member waits for a gap, where more members
+	repairRequests = 48
+	// spareDelay is how long an empty member waits for a gap, where more members
 	// hold a layer alone than there are empty ones.
-	spareAfter = 8 * time.Second
+	spareDelay = 8 * time.Second
 )
 
 // planGroup closes the gaps of a group, or lays it out.
 func planGroup(m Model, members []Member) []Move {
 	if slices.IndexFunc(members, func(x Member) bool { return x.Held.Len() > 0 }) < 0 {
-		return layAll(m, members)
+		return layoutGroup(m, members)
 	}
-	held := newCover(m)
+	holders := newCoverage(m)
 	for _, x := range members {
-		held.add(x.Held, 1)
+		holders.add(x.Held, 1)
 	}
 	moved := make(map[string]bool)
 	var out []Move
-	give := func(x Member, s Span) {
-		held.add(x.Held, -1)
-		held.add(s, 1)
+	assign := func(x Member, s Span) {
+		holders.add(x.Held, -1)
+		holders.add(s, 1)
 		moved[x.ID] = true
 		out = append(out, Move{x.ID, s})
 	}
-	for gap := held.gap(); gap.Len() > 0; gap = held.gap() {
-		x, s := filler(m, members, moved, held, gap)
+	for gap := holders.firstGap(); gap.Len() > 0; gap = holders.firstGap() {
+		x, s := pickReplacement(m, members, moved, holders, gap)
 		if s.Len() == 0 {
-			x, s = neighbour(m, members, moved, gap)
+			x, s = extendNeighbour(m, members, moved, gap)
 		}
 		if s.Len() == 0 {
 			// Nobody can take it now; the other gaps are looked at all the same.
-			held.add(gap, 1)
+			holders.add(gap, 1)
 			continue
 		}
-		give(x, s)
+		assign(x, s)
 	}
 	// Where as many are empty as hold a layer alone, these can all be relieved at
 	// once. Else an empty one may be there to replace one of them, which drains only
 	// after it came.
-	empty := idle(members, moved)
-	enough := alone(members, held) <= len(empty)
+	empty := availableEmpty(members, moved)
+	enoughEmpty := countSoleHolders(members, holders) <= len(empty)
 	for _, x := range empty {
 		var s Span
 		switch {
-		case enough:
-			s = beside(held, most(m, x.MB, fillerRequests), spansOf(members))
-		case x.Waited >= spareAfter:
-			s = relief(m, members, x)
+		case enoughEmpty:
+			s = leastCoveredSpan(holders, maxLayers(m, x.MB, repairRequests), heldSpans(members))
+		case x.Waited >= spareDelay:
+			s = mostLoadedSpan(m, members, x)
 		}
 		if s.Len() > 0 {
-			give(x, s)
+			assign(x, s)
 		}
 	}
 	return out
 }
 
-// idle are the empty members that can be given layers.
-func idle(members []Member, moved map[string]bool) []Member {
+// availableEmpty are the empty members that can be given layers.
+func availableEmpty(members []Member, moved map[string]bool) []Member {
 	var out []Member
 	for _, x := range members {
 		if x.Held.Len() == 0 && !x.Pending && !x.Missing && !moved[x.ID] {
@@ -74,19 +74,19 @@
 	return out
 }
 
-// alone is how many members hold a layer that no other one holds.
-func alone(members []Member, held *cover) int {
+// countSoleHolders is how many members hold a layer that no other one holds.
+func countSoleHolders(members []Member, holders *coverage) int {
 	out := 0
 	for _, x := range members {
-		if x.Held.Len() > 0 && !held.spare(x.Held) {
+		if x.Held.Len() > 0 && !holders.redundant(x.Held) {
 			out++
 		}
 	}
 	return out
 }
 
-// spansOf are the ranges that members hold.
-func spansOf(members []Member) []Span {
+// heldSpans are the ranges that members hold.
+func heldSpans(members []Member) []Span {
 	out := make([]Span, len(members))
 	for i, x := range members {
 		out[i] = x.Held
@@ -94,70 +94,70 @@
 	return out
 }
 
-// filler is the member that closes most of a gap, and the range it takes: the
+// pickReplacement is the member that closes most of a gap, and the range it takes: the
 // empty one that fits best, else the one that can best be spared.
-func filler(m Model, members []Member, moved map[string]bool, held *cover, gap Span) (Member, Span) {
-	best, span, grade := Member{}, Span{}, 0.0
+func pickReplacement(m Model, members []Member, moved map[string]bool, holders *coverage, gap Span) (Member, Span) {
+	best, span, bestScore := Member{}, Span{}, 0.0
 	for _, x := range members {
-		if x.Pending || x.Missing || moved[x.ID] || !held.spare(x.Held) {
+		if x.Pending || x.Missing || moved[x.ID] || !holders.redundant(x.Held) {
 			continue
 		}
-		n := evenPart(gap.Len(), most(m, x.MB, fillerRequests))
+		n := evenShare(gap.Len(), maxLayers(m, x.MB, repairRequests))
 		// Closing more counts most, then being empty, then having few streams to
 		// drain, then being fast.
-		g := 1e6 * float64(n)
+		score := 1e6 * float64(n)
 		if x.Held.Len() == 0 {
-			g += 1e5
+			score += 1e5
 		}
-		g += 1e3 / float64(1+x.Streams)
-		g += 1 / max(1, x.Pace)
-		if n > 0 && g > grade {
-			best, span, grade = x, Span{gap.From, gap.From + n}, g
+		score += 1e3 / float64(1+x.Streams)
+		score += 1 / max(1, x.Pace)
+		if n > 0 && score > bestScore {
+			best, span, bestScore = x, Span{gap.From, gap.From + n}, score
 		}
 	}
 	return best, span
 }
 
-// evenPart is how many layers of a gap a member takes that can hold some at most. Where
+// evenShare is how many layers of a gap a member takes that can hold some at most. Where
 // it needs others beside it they take about as many each: with one layer on the last
 // and all that fit on the others, these would have room for few requests.
-func evenPart(gap, most int) int {
-	if most <= 0 {
+func evenShare(gap, capacity int) int {
+	if capacity <= 0 {
 		return 0
 	}
-	members := (gap + most - 1) / most
+	members := (gap + capacity - 1) / capacity
 	return (gap + members - 1) / members
 }
 
-// neighbour is a member that holds layers beside a gap and has memory for some
+// extendNeighbour is a member that holds layers beside a gap and has memory for some
 // more, and the range that it holds with them. It comes after members that can
 // be spared: what it lends, the streams of its data centre lack. Without it a
 // data centre in which each layer is held once never has a path of its own again
 // after a loss for good.
-func neighbour(m Model, members []Member, moved map[string]bool, gap Span) (Member, Span) {
-	best, span, closed := Member{}, Span{}, 0
+func extendNeighbour(m Model, members []Member, moved map[string]bool, gap Span) (Member, Span) {
+	best, span, covered := Member{}, Span{}, 0
 	for _, x := range members {
 		if x.Pending || x.Missing || moved[x.ID] || x.Held.Len() == 0 {
 			continue
 		}
-		n := min(gap.Len(), most(m, x.MB, leastRequests)-x.Held.Len())
+		n := min(gap.Len(), maxLayers(m, x.MB, minRequests)-x.Held.Len())
 		switch {
-		case n <= closed:
+		case n <= covered:
 		case x.Held.To == gap.From:
-			best, span, closed = x, Span{x.Held.From, x.Held.To + n}, n
+			best, span, covered = x, Span{x.Held.From, x.Held.To + n}, n
 		case x.Held.From == gap.To:
-			best, span, closed = x, Span{x.Held.From - n, x.Held.To}, n
+			best, span, covered = x, Span{x.Held.From - n, x.Held.To}, n
 		}
 	}
 	return best, span
 }
 
-// relief is the range that an empty member holds beside others: the one of a
+// mostLoadedSpan is the range that an empty member holds beside others: the one of a
 // member whose layers take most time for those that hold them.
-func relief(m Model, members []Member, x Member) Span {
-	best, load := Span{}, 0.0
+func mostLoadedSpan(m Model, members []Member, x Member) Span {
+	best, maxLoad := Span{}, 0.0
 	for _, y := range members {
-		if y.Held.Len() == 0 || y.Held.Len() > most(m, x.MB, fillerRequests) {
+		if y.Held.Len() == 0 || y.Held.Len() > maxLayers(m, x.MB, repairRequests) {
 			continue
 		}
 		holders := 0.0
@@ -166,8 +166,8 @@
 				holders++
 			}
 		}
-		if l := y.Pace * float64(y.Held.Len()) / holders; l > load {
-			best, load = y.Held, l
+		if load := y.Pace * float64(y.Held.Len()) / holders; load > maxLoad {
+			best, maxLoad = y.Held, load
 		}
 	}
 	return best
--- a/placer/layout_test.go
+++ b/placer/layout_test.go
@@ -11,11 +11,11 @@
 	"github.com/sardineward/sardineward/placer"
 )
 
-// ample is a model of which the fleets below have memory for several copies.
-var ample = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.005325, Tokens: 844, Step: 0.85, Request: 0.006, Slots: 192}
+// roomyModel is a model of which the fleets below have memory for several copies.
+var roomyModel = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.005325, Tokens: 844, Step: 0.85, Request: 0.006, Slots: 192}
 
-// assertOutlived checks that every layer is held once any one member is lost.
-func assertOutlived(t *testing.T, members []placer.Member) {
+// assertSurvivesLoss checks that every layer is held once any one member is lost.
+func assertSurvivesLoss(t *testing.T, members []placer.Member) {
 	t.Helper()
 	for i := range members {
 		lost := slices.Delete(slices.Clone(members), i, i+1)
@@ -23,38 +23,38 @@
 	}
 }
 
-// TestOutlived guards against layers that are lost with one member though there is
+// TestSurvivesAnyLoss guards against layers that are lost with one member though there is
 // memory for two holders.
-func TestOutlived(t *testing.T) {
-	medium := card{36000, 3.1}
+func TestSurvivesAnyLoss(t *testing.T) {
+	medium := cardKind{36000, 3.1}
 	for _, tc := range [][3]int{{2, 13, 22}, {1, 22, 12}, {4, 9, 14}, {0, 30, 0}, {0, 14, 14}, {6, 0, 30}} {
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
 			var members []placer.Member
-			for k, kind := range [3]card{medium, slow, {14400, 15}} {
+			for k, kind := range [3]cardKind{medium, slow, {14400, 15}} {
 				for i := range tc[k] {
 					members = append(members, placer.Member{ID: fmt.Sprint(k, "-", i), DataCentre: "a", MB: kind.mb, Pace: kind.pace})
 				}
 			}
-			apply(members, placer.Plan(ample, members))
+			apply(members, placer.Plan(roomyModel, members))
 			assertFits(t, members)
-			assertOutlived(t, members)
+			assertSurvivesLoss(t, members)
 		})
 	}
 }
 
-// TestReturned guards against an empty member that stands idle until the next loss.
-func TestReturned(t *testing.T) {
+// TestEmptyMemberReused guards against an empty member that stands idle until the next loss.
+func TestEmptyMemberReused(t *testing.T) {
 	is := is.New(t)
 	var members []placer.Member
 	for i := range 30 {
 		members = append(members, placer.Member{ID: fmt.Sprint(i), DataCentre: "a", MB: slow.mb, Pace: slow.pace})
 	}
-	apply(members, placer.Plan(ample, members))
+	apply(members, placer.Plan(roomyModel, members))
 	members[7].Held = placer.Span{}
 	members[7].Waited = time.Second
-	moves := placer.Plan(ample, members)
+	moves := placer.Plan(roomyModel, members)
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].ID, "7")
 	apply(members, moves)
-	assertOutlived(t, members)
+	assertSurvivesLoss(t, members)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -69,15 +69,15 @@
 }
 
 const (
-	// leastRequests is the room that a card keeps beside its layers, in usual
+	// minRequests is the room that a card keeps beside its layers, in usual
 	// requests; with less it is full at every clump of arrivals.
-	leastRequests = 24
-	// mostRequests bounds the requests at once that a layout is made for: ten
+	minRequests = 24
+	// maxRequests bounds the requests at once that a layout is made for: ten
 	// full batches of the known engines.
-	mostRequests = 2000
-	// fill is the part of its room that a card is planned to have in use:
+	maxRequests = 2000
+	// targetUtilization is the part of its room that a card is planned to have in use:
 	// arrivals clump, and answers are longer than expected.
-	fill = 0.85
+	targetUtilization = 0.85
 )
 
 // Plan returns the orders to give now. A fleet that holds nothing is laid out
@@ -91,69 +91,69 @@
 
 // PlanFor is Plan for the groups with a member in some data centres. To lay out a
 // group takes a while, and each host that gives orders does so for a few.
-func PlanFor(m Model, members []Member, dataCentre func(name string) bool) []Move {
+func PlanFor(m Model, members []Member, selected func(name string) bool) []Move {
 	var out []Move
-	for _, group := range groups(m, members) {
-		if slices.ContainsFunc(group, func(x Member) bool { return dataCentre(x.DataCentre) }) {
+	for _, group := range formGroups(m, members) {
+		if slices.ContainsFunc(group, func(x Member) bool { return selected(x.DataCentre) }) {
 			out = append(out, planGroup(m, group)...)
 		}
 	}
 	return out
 }
 
-// groups are the members that hold whole models together: those of a data
+// formGroups are the members that hold whole models together: those of a data
 // centre where that fits, else those of all data centres where it doesn't. When
 // these fall short too, all members are one group.
-func groups(m Model, members []Member) [][]Member {
-	byCentre := make(map[string][]Member)
+func formGroups(m Model, members []Member) [][]Member {
+	byDataCentre := make(map[string][]Member)
 	for _, x := range members {
-		byCentre[x.DataCentre] = append(byCentre[x.DataCentre], x)
+		byDataCentre[x.DataCentre] = append(byDataCentre[x.DataCentre], x)
 	}
 	var out [][]Member
 	var rest []Member
-	for _, dc := range sortedKeys(byCentre) {
+	for _, dc := range sortedKeys(byDataCentre) {
 		// One that holds a model stays by itself: when it is cut off, entries of
 		// its members lapse, and the others must not move into its gaps.
-		if fits(m, byCentre[dc]) || whole(m, byCentre[dc]) {
-			out = append(out, byCentre[dc])
+		if canHoldModel(m, byDataCentre[dc]) || holdsMostLayers(m, byDataCentre[dc]) {
+			out = append(out, byDataCentre[dc])
 		} else {
-			rest = append(rest, byCentre[dc]...)
+			rest = append(rest, byDataCentre[dc]...)
 		}
 	}
 	if len(rest) == 0 {
 		return out
 	}
-	if fits(m, rest) {
+	if canHoldModel(m, rest) {
 		return append(out, rest)
 	}
 	return [][]Member{members}
 }
 
-// whole reports whether members hold all layers, or nearly: one was lost.
-func whole(m Model, members []Member) bool {
-	held := newCover(m)
+// holdsMostLayers reports whether members hold all layers, or nearly: one was lost.
+func holdsMostLayers(m Model, members []Member) bool {
+	holders := newCoverage(m)
 	for _, x := range members {
-		held.add(x.Held, 1)
+		holders.add(x.Held, 1)
 	}
 	n := 0
-	for _, by := range held.n {
-		if by > 0 {
+	for _, count := range holders.count {
+		if count > 0 {
 			n++
 		}
 	}
 	return 2*n > m.Layers
 }
 
-func fits(m Model, members []Member) bool {
+func canHoldModel(m Model, members []Member) bool {
 	n := 0
 	for _, x := range members {
-		n += most(m, x.MB, leastRequests)
+		n += maxLayers(m, x.MB, minRequests)
 	}
 	return n >= m.Layers
 }
 
-// most is how many layers a card holds that keeps room for some requests.
-func most(m Model, mb, requests float64) int {
+// maxLayers is how many layers a card holds that keeps room for some requests.
+func maxLayers(m Model, mb, requests float64) int {
 	n := int(mb / (m.LayerMB + requests*m.Tokens*m.TokenMB))
 	return max(0, min(n, m.Layers))
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -15,20 +15,20 @@
 // model has 80 layers, with room for one usual request in about 6.5 MB a layer.
 var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, Tokens: 879, Step: 1.02, Request: 0.01}
 
-// card is a kind of accelerator.
-type card struct{ mb, pace float64 }
+// cardKind is a kind of accelerator.
+type cardKind struct{ mb, pace float64 }
 
 var (
-	large = card{72000, 2.4}
-	quick = card{14400, 5.3}
-	slow  = card{21600, 16}
+	large = cardKind{72000, 2.4}
+	quick = cardKind{14400, 5.3}
+	slow  = cardKind{21600, 16}
 )
 
 // fleet makes members of a data centre.
 func fleet(dc string, larges, quicks, slows int) []placer.Member {
 	var out []placer.Member
 	counts := [3]int{larges, quicks, slows}
-	for k, kind := range [3]card{large, quick, slow} {
+	for k, kind := range [3]cardKind{large, quick, slow} {
 		for i := range counts[k] {
 			out = append(out, placer.Member{ID: fmt.Sprintf("%s-%v-%02d", dc, kind.mb, i), DataCentre: dc, MB: kind.mb, Pace: kind.pace})
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// holders counts who can be reached and holds each layer in a data centre.
-func holders(members []placer.Member, dc string) []int {
+// countHolders counts who can be reached and holds each layer in a data centre.
+func countHolders(members []placer.Member, dc string) []int {
 	out := make([]int, model.Layers)
 	for _, x := range members {
 		if x.Missing || (dc != "" && x.DataCentre != dc) {
@@ -63,7 +63,7 @@
 
 func assertCovered(t *testing.T, members []placer.Member, dc string) {
 	t.Helper()
-	for l, n := range holders(members, dc) {
+	for l, n := range countHolders(members, dc) {
 		if n == 0 {
 			t.Fatalf("nobody in %q holds layer %d", dc, l)
 		}
@@ -91,30 +91,30 @@
 	}
 }
 
-// rate is the highest rate of arrivals of a data centre: the requests at once
+// maxArrivalRate is the highest rate of arrivals of a data centre: the requests at once
 // that fit over the time that each takes, with all of them in the batches.
-func rate(members []placer.Member) float64 {
-	n := holders(members, "")
-	most, t0, t1 := 1e9, 0.0, 0.0
+func maxArrivalRate(members []placer.Member) float64 {
+	holders := countHolders(members, "")
+	concurrency, t0, t1 := 1e9, 0.0, 0.0
 	for _, x := range members {
 		if x.Held.Len() == 0 {
 			continue
 		}
 		share := 0.0
 		for l := x.Held.From; l < x.Held.To; l++ {
-			share = max(share, 1/float64(n[l]))
+			share = max(share, 1/float64(holders[l]))
 		}
 		room := (x.MB - float64(x.Held.Len())*model.LayerMB) / model.TokenMB / float64(x.Held.Len()) / model.Tokens
-		most = min(most, room/share)
+		concurrency = min(concurrency, room/share)
 		part := x.Pace * float64(x.Held.Len()) / float64(model.Layers) * share
 		t0 += part * model.Step
 		t1 += part * share * model.Request
 	}
-	return most / (t0 + t1*most)
+	return concurrency / (t0 + t1*concurrency)
 }
 
-// TestLoadStep guards against a layout in which slow cards make every answer late.
-func TestLoadStep(t *testing.T) {
+// TestFasterThanFixedLayout guards against a layout in which slow cards make every answer late.
+func TestFasterThanFixedLayout(t *testing.T) {
 	for _, tc := range [][3]int{{1, 6, 6}, {1, 10, 4}, {2, 4, 4}} {
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
 			members := fleet("a", tc[0], tc[1], tc[2])
@@ -129,7 +129,7 @@
 					at = 0
 				}
 			}
-			got, base := rate(members), rate(fixed)
+			got, base := maxArrivalRate(members), maxArrivalRate(fixed)
 			t.Logf("%.2f against %.2f requests a unit of time", got, base)
 			is.New(t).True(got > base)
 		})
@@ -154,22 +154,22 @@
 		})
 		t.Run(members[lost].ID+" replaced", func(t *testing.T) {
 			is := is.New(t)
-			again := append([]placer.Member{}, members...)
-			again[lost].Held = placer.Span{}
-			moves := placer.Plan(model, again)
+			replaced := append([]placer.Member{}, members...)
+			replaced[lost].Held = placer.Span{}
+			moves := placer.Plan(model, replaced)
 			if members[lost].Held.Len() > 0 && len(moves) > 0 {
 				is.Equal(len(moves), 1)
 				is.Equal(moves[0].ID, members[lost].ID)
 			}
-			apply(again, moves)
-			assertCovered(t, again, "a")
+			apply(replaced, moves)
+			assertCovered(t, replaced, "a")
 		})
 	}
 }
 
 // TestMissing. An upstream crashes and is back in some seconds. Its layers are
 // no gap meanwhile: moving others there would cost them their own requests.
-func TestMissing(t *testing.T) {
+func TestUnreachableMemberKept(t *testing.T) {
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
 	members[3].Missing = true
@@ -179,7 +179,7 @@
 // TestAccepted. An upstream was ordered to take a lost range and drains first.
 // A second and a third one were ordered to the same range meanwhile, and left
 // theirs.
-func TestAccepted(t *testing.T) {
+func TestNoSecondOrderWhilePending(t *testing.T) {
 	is := is.New(t)
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
@@ -197,7 +197,7 @@
 
 // TestCutOff. A data centre is cut off and the entries of its members lapse one
 // after the other. Members of the others must not be moved into its gaps.
-func TestCutOff(t *testing.T) {
+func TestPartitionedDataCentre(t *testing.T) {
 	is := is.New(t)
 	members := append(fleet("a", 1, 6, 6), fleet("b", 1, 10, 4)...)
 	apply(members, placer.Plan(model, members))
@@ -214,7 +214,7 @@
 
 // TestPoorDataCentre. One data centre has too few cards for a model and holds
 // it together with another one.
-func TestPoorDataCentre(t *testing.T) {
+func TestModelAcrossDataCentres(t *testing.T) {
 	members := append(fleet("a", 0, 2, 1), fleet("b", 1, 8, 6)...)
 	apply(members, placer.Plan(model, members))
 	assertCovered(t, members, "")
@@ -223,7 +223,7 @@
 
 // TestSpare. An empty one that was added waits for the one that it replaces to
 // drain, and only then helps where the layers take most time.
-func TestSpare(t *testing.T) {
+func TestAddedMemberWaits(t *testing.T) {
 	is := is.New(t)
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
@@ -235,10 +235,10 @@
 	is.Equal(moves[0].ID, "new")
 }
 
-// TestDrawnFleets plays crashes, returns and losses on fleets that nobody has
+// TestRandomFleets plays crashes, returns and losses on fleets that nobody has
 // seen: no order may overfill a card, and what is lost is held again while the
 // members that are left can hold the model.
-func TestDrawnFleets(t *testing.T) {
+func TestRandomFleets(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 1))
@@ -267,9 +267,9 @@
 	}
 }
 
-// TestGapShared guards against a gap of which one member takes all that fits, so that it
+// TestGapSplitEvenly guards against a gap of which one member takes all that fits, so that it
 // has room for few requests, and the next one a single layer.
-func TestGapShared(t *testing.T) {
+func TestGapSplitEvenly(t *testing.T) {
 	is := is.New(t)
 	members := fleet("a", 2, 0, 30)
 	at := 0
@@ -292,16 +292,16 @@
 // TestLargeGroup guards against a large data centre whose members nearly all hold the
 // same few layers.
 func TestLargeGroup(t *testing.T) {
-	fewest := func(members []placer.Member) int {
+	minHolders := func(members []placer.Member) int {
 		apply(members, placer.Plan(model, members))
-		return slices.Min(holders(members, "a"))
+		return slices.Min(countHolders(members, "a"))
 	}
-	one := fewest(fleet("a", 4, 20, 16))
+	one := minHolders(fleet("a", 4, 20, 16))
 	for _, n := range []int{3, 8, 25} {
 		t.Run(fmt.Sprint(40*n, " members"), func(t *testing.T) {
 			is := is.New(t)
 			members := fleet("a", 4*n, 20*n, 16*n)
-			is.True(fewest(members) >= n*one)
+			is.True(minHolders(members) >= n*one)
 		})
 	}
 }
