--- a/placer/cover.go
+++ b/placer/cover.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
-// coverage counts the members that hold each layer.
-type coverage struct{ count []int }
+// coverage counts the members that hold each layer; n is indexed by layer.
+type coverage struct{ n []int }
 
-func newCoverage(m Model) *coverage { return &coverage{count: make([]int, m.Layers)} }
+func newCoverage(m Model) *coverage { return &coverage{n: make([]int, m.Layers)} }
 
+// add changes the number of holders of each layer in s by delta; s may exceed the model.
 func (c *coverage) add(s Span, delta int) {
-	for l := max(0, s.From); l < min(s.To, len(c.count)); l++ {
-		c.count[l] += delta
+	for l := max(0, s.From); l < min(s.To, len(c.n)); l++ {
+		c.n[l] += delta
 	}
 }
 
-// firstGap is the first range of layers that nobody holds.
-func (c *coverage) firstGap() Span {
-	from := slices.Index(c.count, 0)
+// gap returns the first range of layers that no member holds; empty if there is none.
+func (c *coverage) gap() Span {
+	from := slices.Index(c.n, 0)
 	if from < 0 {
 		return Span{}
 	}
 	to := from
-	for to < len(c.count) && c.count[to] == 0 {
+	for to < len(c.n) && c.n[to] == 0 {
 		to++
 	}
 	return Span{from, to}
 }
 
-// redundant reports whether others than its holder hold every layer of a span.
+// redundant reports whether each layer of s has at least two holders, which holds for an empty s.
 func (c *coverage) redundant(s Span) bool {
-	for l := s.From; l < min(s.To, len(c.count)); l++ {
-		if c.count[l] < 2 {
+	for l := s.From; l < min(s.To, len(c.n)); l++ {
+		if c.n[l] < 2 {
 			return false
 		}
 	}
--- a/placer/divisions.go
+++ b/placer/divisions.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// concurrencyGrowth is the step between two numbers of requests at once that
-	// layouts are tried for.
+	// concurrencyGrowth is the ratio between successive concurrencies (requests in progress at
+	// once) for which layouts are tried.
 	concurrencyGrowth = 1.12
-	// maxLayoutsBuilt is how many ways to share the layers are laid out in full.
+	// maxLayoutsBuilt bounds the redundant partitions that are laid out in full, and likewise
+	// the other ones.
 	maxLayoutsBuilt = 40
-	// maxPartitions bounds the ways to divide the layers that are tried, for
-	// fleets of many kinds.
+	// maxPartitions bounds the partitions tried for one concurrency. Groups with many bands
+	// would exceed it, so they divide the layers in larger steps.
 	maxPartitions = 900
 )
 
-// partition is a way to share the layers among bands for some requests at once.
+// partition is a division of the model's layers among bands, for some concurrency.
 type partition struct {
 	concurrency float64
-	// layers are those of each band. One without any stands beside the others.
+	// layers is the number of layers of each band. The members of a band with none become
+	// additional holders of the other bands' layers.
 	layers []int
-	// rate is about what it bears; twice is set where each band holds its layers
-	// twice or more.
+	// rate estimates the requests per unit of time. redundant is set if each band holds its
+	// layers at least twice.
 	rate      float64
 	redundant bool
 }
 
-// bestPartitions are the ways that bear most, and among those that hold every layer
-// twice the ones that bear most.
+// bestPartitions returns the partitions with the highest rates, and the redundant partitions
+// with the highest rates among those.
 func bestPartitions(m Model, members []Member, bands []band) []partition {
 	step := 1
 	for countPartitions(m.Layers/step, len(bands)-1) > maxPartitions {
@@ -72,8 +74,9 @@
 	return out
 }
 
-// enumeratePartitions calls found with every way to share layers among bands that hold them, in
-// steps but for the last one.
+// enumeratePartitions calls visit with each way to divide the remaining layers among the
+// bands that can hold them, in multiples of step except for the last band. visit must not
+// retain its argument.
 func enumeratePartitions(remaining, step int, tables [][]int, layers []int, visit func(layers []int)) {
 	table := tables[len(layers)]
 	if len(layers) == len(tables)-1 {
@@ -87,7 +90,8 @@
 	}
 }
 
-// rowCounts is how often a band holds any number of layers.
+// rowCounts returns, indexed by a number of layers, how many rows of members a band can form
+// that each hold so many layers and the cache of their share of the requests.
 func rowCounts(m Model, members []Member, b band, concurrency float64) []int {
 	out := make([]int, m.Layers+1)
 	for n := min(len(b), maxRows); n > 0; n-- {
@@ -101,7 +105,7 @@
 	return out
 }
 
-// countPartitions is about how many ways there are to cut n layers k times.
+// countPartitions returns the number of ways to divide n layers among k+1 bands.
 func countPartitions(n, k int) float64 {
 	out := 1.0
 	for i := range k {
--- a/placer/gaps.go
+++ b/placer/gaps.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// repairRequests is the room that a card keeps when it takes the layers of
-	// another: less than planned, as those beside it have more.
+	// repairRequests is the number of requests for which a member keeps cache memory when it
+	// takes over layers: fewer than layouts plan, as the members next to it have more.
 	repairRequests = 48
-	// spareDelay is how long an empty member waits for a gap, where more members
-	// hold a layer alone than there are empty ones.
+	// spareDelay is how long an empty member is kept free for a gap while the members that
+	// are the sole holder of a layer outnumber the empty ones.
 	spareDelay = 8 * time.Second
 )
 
-// planGroup closes the gaps of a group, or lays it out.
+// planGroup closes the gaps of a group, or lays it out if no member holds layers.
 func planGroup(m Model, members []Member) []Move {
 	if slices.IndexFunc(members, func(x Member) bool { return x.Held.Len() > 0 }) < 0 {
 		return layoutGroup(m, members)
@@ -31,21 +31,21 @@
 		moved[x.ID] = true
 		out = append(out, Move{x.ID, s})
 	}
-	for gap := holders.firstGap(); gap.Len() > 0; gap = holders.firstGap() {
+	for gap := holders.gap(); gap.Len() > 0; gap = holders.gap() {
 		x, s := pickReplacement(m, members, moved, holders, gap)
 		if s.Len() == 0 {
 			x, s = extendNeighbour(m, members, moved, gap)
 		}
 		if s.Len() == 0 {
-			// Nobody can take it now; the other gaps are looked at all the same.
+			// No member can take the gap now. Counting it as held lets the other gaps be closed.
 			holders.add(gap, 1)
 			continue
 		}
 		assign(x, s)
 	}
-	// Where as many are empty as hold a layer alone, these can all be relieved at
-	// once. Else an empty one may be there to replace one of them, which drains only
-	// after it came.
+	// If there are at least as many empty members as sole holders, all of these can get a
+	// second holder at once. Otherwise an empty member may be the replacement of one of them,
+	// which drains only after the replacement has joined.
 	empty := availableEmpty(members, moved)
 	enoughEmpty := countSoleHolders(members, holders) <= len(empty)
 	for _, x := range empty {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// availableEmpty are the empty members that can be given layers.
+// availableEmpty returns the empty members that can be given layers.
 func availableEmpty(members []Member, moved map[string]bool) []Member {
 	var out []Member
 	for _, x := range members {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// countSoleHolders is how many members hold a layer that no other one holds.
+// countSoleHolders counts the members that hold a layer that no other member holds.
 func countSoleHolders(members []Member, holders *coverage) int {
 	out := 0
 	for _, x := range members {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// heldSpans are the ranges that members hold.
+// heldSpans returns the span of each member.
 func heldSpans(members []Member) []Span {
 	out := make([]Span, len(members))
 	for i, x := range members {
@@ -94,8 +94,9 @@
 	return out
 }
 
-// pickReplacement is the member that closes most of a gap, and the range it takes: the
-// empty one that fits best, else the one that can best be spared.
+// pickReplacement returns the member that closes the largest part of a gap, and the span it
+// takes: the best empty member, otherwise the best one whose layers all have other holders.
+// The span is empty if there is no such member.
 func pickReplacement(m Model, members []Member, moved map[string]bool, holders *coverage, gap Span) (Member, Span) {
 	best, span, bestScore := Member{}, Span{}, 0.0
 	for _, x := range members {
@@ -103,8 +104,8 @@
 			continue
 		}
 		n := evenShare(gap.Len(), maxLayers(m, x.MB, repairRequests))
-		// Closing more counts most, then being empty, then having few streams to
-		// drain, then being fast.
+		// The weights rank by the number of layers closed, then empty members first, then fewer
+		// streams to drain, then faster members.
 		score := 1e6 * float64(n)
 		if x.Held.Len() == 0 {
 			score += 1e5
@@ -118,9 +119,9 @@
 	return best, span
 }
 
-// evenShare is how many layers of a gap a member takes that can hold some at most. Where
-// it needs others beside it they take about as many each: with one layer on the last
-// and all that fit on the others, these would have room for few requests.
+// evenShare returns how many layers of a gap a member takes that has memory for capacity
+// layers. If it takes several members, they take about equally many: were all but the last
+// filled up and the last left with one layer, the others could serve few requests.
 func evenShare(gap, capacity int) int {
 	if capacity <= 0 {
 		return 0
@@ -129,11 +130,10 @@
 	return (gap + members - 1) / members
 }
 
-// extendNeighbour is a member that holds layers beside a gap and has memory for some
-// more, and the range that it holds with them. It comes after members that can
-// be spared: what it lends, the streams of its data centre lack. Without it a
-// data centre in which each layer is held once never has a path of its own again
-// after a loss for good.
+// extendNeighbour returns a member next to a gap that has memory for more layers, and its
+// span extended into the gap. It is used after pickReplacement, because the streams of the
+// data centre lose the memory that the extension takes. Without it, a data centre that holds
+// each layer once never regains a complete path of its own after a member is lost for good.
 func extendNeighbour(m Model, members []Member, moved map[string]bool, gap Span) (Member, Span) {
 	best, span, covered := Member{}, Span{}, 0
 	for _, x := range members {
@@ -152,8 +152,8 @@
 	return best, span
 }
 
-// mostLoadedSpan is the range that an empty member holds beside others: the one of a
-// member whose layers take most time for those that hold them.
+// mostLoadedSpan returns the span that an empty member takes as an additional holder: the
+// one with the longest step time per holder among those that fit.
 func mostLoadedSpan(m Model, members []Member, x Member) Span {
 	best, maxLoad := Span{}, 0.0
 	for _, y := range members {
--- a/placer/layout.go
+++ b/placer/layout.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxBandPaceRatio is by how much the paces of members may differ that hold one part
-	// of the model together: a path takes any of them for a layer.
+	// maxBandPaceRatio bounds the ratio between the paces of a band's members. They hold one
+	// part of the model together, and a path may use any holder of a layer.
 	maxBandPaceRatio = 1.5
-	// minRedundantRateRatio is the part of the highest rate that a layout must bear in which
-	// every layer has two holders. A fleet has more rate than it needs on most
-	// days, and none at all at a layer that nobody holds.
+	// minRedundantRateRatio is the fraction of the highest rate that a layout must reach to
+	// be preferred because every layer has two holders. Most of the time a fleet has more
+	// capacity than it needs, but it has none if a layer has no holder.
 	minRedundantRateRatio = 0.8
-	// maxRows bounds how many rows a band is cut into.
+	// maxRows bounds the number of rows that a band is divided into.
 	maxRows = 8
 )
 
-// layoutGroup gives every member its range of a new layout.
+// layoutGroup gives every member that can take orders its span of a new layout.
 func layoutGroup(m Model, members []Member) []Move {
 	var out []Move
 	layouts := make(map[string][]Span)
@@ -39,15 +39,16 @@
 }
 
 const (
-	// targetCellSize is about how many members a cell of a large group has, mostCell how
-	// many one has at most.
+	// targetCellSize is the approximate number of members of each cell of a large group.
+	// maxCellSize is the size up to which a group is not divided into cells.
 	targetCellSize = 40
 	maxCellSize    = 64
 )
 
-// splitCells deals a large group out into parts that are laid out alone, each with its
-// share of every kind: the ways to lay out members grow faster than their number, and
-// a layer needs only so many holders in one layout.
+// splitCells divides a large group into cells that are laid out separately, each with its
+// share of every kind of member. The number of possible layouts grows faster than the number
+// of members, and in one layout a layer needs only a limited number of holders. A group that
+// cannot be divided into cells that each hold the model stays whole.
 func splitCells(m Model, members []Member) [][]Member {
 	if len(members) <= maxCellSize {
 		return [][]Member{members}
@@ -68,8 +69,8 @@
 	return [][]Member{members}
 }
 
-// kindsKey names the kinds of members in order: cells with the same have the same
-// layout.
+// kindsKey lists the memory and pace of each member in order. Cells with equal keys have the
+// same layout.
 func kindsKey(members []Member) string {
 	var out strings.Builder
 	for _, x := range members {
@@ -78,10 +79,10 @@
 	return out.String()
 }
 
-// layout is the range of each member once all moves are made. Without a member that
-// holds a layer alone all requests of its data centre go elsewhere, until another one
-// was drained and loaded; so every layer is held twice where the fleet has memory for
-// that and still bears nearly as much.
+// layout returns the span of each member once all orders are carried out. While a layer has
+// no holder, all requests of the data centre go elsewhere until another member has drained
+// and loaded it. A layout in which every layer has two holders is therefore preferred if
+// memory allows it and its rate is close to the highest.
 func layout(m Model, members []Member) []Span {
 	bands := bandsOf(members)
 	var fastest, redundant candidate
@@ -104,13 +105,13 @@
 	}
 }
 
-// band is the members of about one pace, as indices into the group's.
+// band is a set of members of similar pace, as indices into the members of the group.
 type band []int
 
-// bandsOf groups members, the slowest first. They hold the first layers: a stream
-// whose first upstream is lost has to be sent again as a new request, while
-// another hop of its path is replaced by an order, and of the slowest there are
-// most that can take a request.
+// bandsOf divides members into bands, slowest first; the slowest hold the first layers. A
+// stream that loses its first upstream has to be sent again as a new request, while the
+// other hops of its path are replaced by an order; and among the slowest members there are
+// the most that can take such a request.
 func bandsOf(members []Member) []band {
 	order := make([]int, len(members))
 	for i := range order {
@@ -131,19 +132,17 @@
 	return out
 }
 
-// candidate is a layout and what it is worth.
+// candidate is a layout and its rating.
 type candidate struct {
 	spans []Span
-	// soleHolders is how many members hold a layer that no other one holds.
+	// soleHolders is the number of members that hold a layer that no other member holds.
 	soleHolders int
-	// rate is the requests that it bears in a unit of time; 0 where a layer is
-	// not held.
+	// rate is in requests per unit of time; 0 if a layer has no holder.
 	rate float64
 }
 
-// buildLayout lays the bands out one after the other.
-// In each, members fill rows that hold its layers whole; those that are left over
-// stand beside the layers that fewest hold.
+// buildLayout lays out the bands one after the other. Members of a band form rows that each
+// hold all of its layers. The members left over hold the layers with the fewest holders.
 func buildLayout(m Model, members []Member, bands []band, p partition) candidate {
 	c := candidate{spans: make([]Span, len(members))}
 	holders := newCoverage(m)
@@ -159,7 +158,7 @@
 	for _, s := range c.spans {
 		holders.add(s, 1)
 	}
-	if slices.Contains(holders.count, 0) {
+	if slices.Contains(holders.n, 0) {
 		return c
 	}
 	for n, i := range unplaced {
@@ -170,9 +169,9 @@
 	return c
 }
 
-// fillRows fills a span with members as often as they hold it whole with room for
-// their part of the requests, each row spread over it evenly. It returns the
-// members that are left, and how many layers each holds.
+// fillRows assigns target to as many rows of members as can hold it together with the cache
+// of their share of the requests, and divides it evenly within each row. It returns the
+// members left over, and how many layers each of them can hold.
 func fillRows(m Model, members []Member, b band, concurrency float64, target Span, spans []Span) (rest []int, sizes []int) {
 	n := min(len(b), maxRows)
 	if target.Len() == 0 {
@@ -194,8 +193,8 @@
 	return b, make([]int, len(b))
 }
 
-// layerCapacities is how many layers each member of a band holds beside room for some
-// requests.
+// layerCapacities returns how many layers each member of a band can hold beside the cache of
+// the given number of requests.
 func layerCapacities(m Model, members []Member, b band, requests float64) []int {
 	out := make([]int, len(b))
 	for n, i := range b {
@@ -204,8 +203,8 @@
 	return out
 }
 
-// rowEnds cuts sizes into rows that each hold a number of layers; what is too
-// small for one more is left over.
+// rowEnds divides sizes into consecutive rows that each hold the given number of layers, and
+// returns where each row ends. Sizes after the last end are left over.
 func rowEnds(sizes []int, layers int) []int {
 	var out []int
 	sum := 0
@@ -218,7 +217,7 @@
 	return out
 }
 
-// spreadRow shares a span among the members of one row by their sizes.
+// spreadRow divides target among the members of one row in proportion to their sizes.
 func spreadRow(row []int, sizes []int, target Span, spans []Span) {
 	sum := 0
 	for _, size := range sizes {
@@ -233,24 +232,24 @@
 	}
 }
 
-// leastCoveredSpan is the range of a size that fewest members hold, from the start of
-// another one's range on or up to its end: each boundary more is a hop more for
-// the paths over it.
+// leastCoveredSpan returns the span of the given size whose layers have the fewest holders.
+// It starts or ends where another span does, because each further boundary adds a hop to the
+// paths across it.
 func leastCoveredSpan(holders *coverage, size int, spans []Span) Span {
 	best, bestValue := Span{}, 0.0
 	consider := func(s Span) {
-		if s.From < 0 || s.To > len(holders.count) || s.Len() == 0 {
+		if s.From < 0 || s.To > len(holders.n) || s.Len() == 0 {
 			return
 		}
 		sum := 0.0
-		for _, n := range holders.count[s.From:s.To] {
+		for _, n := range holders.n[s.From:s.To] {
 			sum += holderValue[min(n, len(holderValue)-1)]
 		}
 		if sum > bestValue {
 			best, bestValue = s, sum
 		}
 	}
-	size = min(size, len(holders.count))
+	size = min(size, len(holders.n))
 	for _, s := range spans {
 		if s.Len() > 0 {
 			consider(Span{s.From, s.From + size})
@@ -260,16 +259,15 @@
 	return best
 }
 
-// holderValue is what one more holder of a layer is worth, by how many it has: a
-// layer that one member holds goes far before all that two hold.
+// holderValue is the value of one more holder of a layer, indexed by the holders it has. Each
+// holder divides it by eight, so that layers with one holder precede those with two by far.
 var holderValue = [...]float64{512, 64, 8, 1, 1.0 / 8, 1.0 / 64, 1.0 / 512}
 
-// evaluate is how many members hold a layer alone and the requests that a layout
-// bears in a unit of time: as many at once as have room everywhere, over the time
-// that each takes with all of them in the batches. The holders of a layer share
-// its requests.
+// evaluate returns the number of sole holders of a layout, and its rate in requests per unit
+// of time: the highest concurrency for which every member has cache memory, over the time of
+// a request when all of them are in the batches. The holders of a layer share its requests.
 func evaluate(m Model, members []Member, spans []Span, holders *coverage) (soleHolders int, rate float64) {
-	if slices.Contains(holders.count, 0) {
+	if slices.Contains(holders.n, 0) {
 		return len(members), 0
 	}
 	concurrency := float64(maxRequests)
@@ -283,7 +281,7 @@
 			firstHolders++
 		}
 		share, sum := 0.0, 0.0
-		for _, n := range holders.count[s.From:s.To] {
+		for _, n := range holders.n[s.From:s.To] {
 			share = max(share, 1/float64(n))
 			sum += 1 / float64(n)
 		}
@@ -302,8 +300,8 @@
 	return soleHolders, concurrency / (base + perRequest*concurrency)
 }
 
-// packByMemory shares the layers by memory alone where no layout has the least room,
-// to the fastest first.
+// packByMemory assigns layers by memory alone, fastest members first, for groups in which no
+// layout has cache memory for minRequests.
 func packByMemory(m Model, members []Member, bands []band) []Span {
 	out := make([]Span, len(members))
 	at := 0
--- a/placer/layout_test.go
+++ b/placer/layout_test.go
@@ -14,7 +14,7 @@
 // roomyModel is a model of which the fleets below have memory for several copies.
 var roomyModel = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.005325, Tokens: 844, Step: 0.85, Request: 0.006, Slots: 192}
 
-// assertSurvivesLoss checks that every layer is held once any one member is lost.
+// assertSurvivesLoss checks that every layer still has a holder after the loss of any member.
 func assertSurvivesLoss(t *testing.T, members []placer.Member) {
 	t.Helper()
 	for i := range members {
@@ -23,8 +23,7 @@
 	}
 }
 
-// TestSurvivesAnyLoss guards against layers that are lost with one member though there is
-// memory for two holders.
+// TestSurvivesAnyLoss guards against layers with one holder although there is memory for two.
 func TestSurvivesAnyLoss(t *testing.T) {
 	medium := cardKind{36000, 3.1}
 	for _, tc := range [][3]int{{2, 13, 22}, {1, 22, 12}, {4, 9, 14}, {0, 30, 0}, {0, 14, 14}, {6, 0, 30}} {
@@ -42,7 +41,7 @@
 	}
 }
 
-// TestEmptyMemberReused guards against an empty member that stands idle until the next loss.
+// TestEmptyMemberReused guards against an empty member that stays unused until the next loss.
 func TestEmptyMemberReused(t *testing.T) {
 	is := is.New(t)
 	var members []placer.Member
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,13 +1,13 @@
 // Package placer decides which layers of a model each upstream holds.
 //
-// The load pattern it answers: many requests at once, each of which passes every
-// layer of the model for each token. A card's step gets longer with each request
-// in its batch, so that slow cards with many layers make every answer longer,
-// which puts more requests into every batch; past a certain rate of arrivals
-// that never ends. And each request takes cache memory beside the layers for as
-// long as its answer takes. The layout with the highest such rate is chosen.
+// Many requests run at once, and each passes every layer of the model for each token. A step
+// of an accelerator takes longer with each request in its batch, so slow accelerators with
+// many layers lengthen every answer, which in turn puts more requests into every batch. Above
+// a certain arrival rate this growth has no end. Each request also takes cache memory beside
+// the layers until its answer is complete. The package looks for the layout that sustains the
+// highest arrival rate.
 //
-// It is a pure function of what is alive and what that holds.
+// Its results depend only on its arguments: the members that are alive and what they hold.
 package placer
 
 import (
@@ -15,29 +15,29 @@
 	"time"
 )
 
-// Span is a range of layers; it is empty when To is not above From.
+// Span is a half-open range of layers; it is empty if To is not above From.
 type Span struct {
 	// From is the first layer, To the one after the last.
 	From, To int
 }
 
-// Len is the number of layers.
+// Len returns the number of layers.
 func (s Span) Len() int { return max(0, s.To-s.From) }
 
-// Model is what is to be placed.
+// Model describes the model to place.
 type Model struct {
-	// Layers is how many it has, LayerMB the size of one in MB.
+	// Layers is the number of layers, LayerMB the size of one in MB.
 	Layers  int
 	LayerMB float64
 	// TokenMB is the cache memory of one token in one layer, in MB.
 	TokenMB float64
-	// Tokens is what one request usually holds.
+	// Tokens is the number of tokens that a typical request has in the cache.
 	Tokens float64
-	// Step is the time of a token step over all layers, Request what each
-	// request in the batch adds to it, in one unit.
+	// Step is the time of a token step over all layers at pace 1. Request is what each
+	// request in the batch adds to it, in the same unit.
 	Step, Request float64
-	// Slots is how many requests a member that holds the first layer is sent at
-	// once; 0 is any number.
+	// Slots bounds the concurrent requests sent to a member that holds the first layer; 0
+	// means no bound.
 	Slots int
 }
 
@@ -45,52 +45,52 @@
 type Member struct {
 	ID         string
 	DataCentre string
-	// MB is its memory for layers and requests.
+	// MB is its memory for layers and the cache of requests, in MB.
 	MB float64
-	// Pace multiplies the time of a step.
+	// Pace multiplies the time of a step: the higher, the slower.
 	Pace float64
-	// Held is what it holds, or is loading while it holds nothing.
+	// Held is the span that it holds, or that it is loading if it holds none.
 	Held Span
-	// Pending is set while an order to it is under way.
+	// Pending is set while an order to it is not carried out yet.
 	Pending bool
-	// Missing is set while it can't be reached and may be back soon. What it
-	// held is no gap meanwhile: paths cross to another data centre there.
+	// Missing is set while it is unreachable but may return soon. The layers it held are
+	// no gap in the meantime: paths use another data centre for them.
 	Missing bool
-	// Streams is how many pass it now.
+	// Streams is the number of streams that pass through it.
 	Streams int
-	// Waited is how long it has held nothing.
+	// Waited is how long it has held no layers.
 	Waited time.Duration
 }
 
-// Move tells a member what to hold from now on.
+// Move is an order to a member to hold a span from now on.
 type Move struct {
 	ID   string
 	Span Span
 }
 
 const (
-	// minRequests is the room that a card keeps beside its layers, in usual
-	// requests; with less it is full at every clump of arrivals.
+	// minRequests is the number of typical requests for which a member keeps cache memory
+	// beside its layers. With fewer, any burst of arrivals fills it.
 	minRequests = 24
-	// maxRequests bounds the requests at once that a layout is made for: ten
-	// full batches of the known engines.
+	// maxRequests bounds the concurrency for which layouts are made: ten full batches of
+	// the known engines.
 	maxRequests = 2000
-	// targetUtilization is the part of its room that a card is planned to have in use:
-	// arrivals clump, and answers are longer than expected.
+	// targetUtilization is the planned fraction of the cache memory in use. The rest is for
+	// bursts of arrivals and answers that are longer than expected.
 	targetUtilization = 0.85
 )
 
-// Plan returns the orders to give now. A fleet that holds nothing is laid out
-// whole. Later only gaps are closed, each by one order: by an empty member, else
-// by one whose layers others hold too. An upstream drains what it gives up, for
-// as long as its streams last, and takes no other order meanwhile; so layouts
-// that moved every range a little took half a minute to settle.
+// Plan returns the orders to give now. A fleet that holds no layers gets a complete layout.
+// Later only gaps are closed, each by one order if possible, to an empty member or else to
+// one whose layers have other holders. An upstream drains the layers that it gives up until
+// their streams end, and takes no other order in the meantime; a layout that moves every span
+// a little would take half a minute to settle.
 func Plan(m Model, members []Member) []Move {
 	return PlanFor(m, members, func(string) bool { return true })
 }
 
-// PlanFor is Plan for the groups with a member in some data centres. To lay out a
-// group takes a while, and each host that gives orders does so for a few.
+// PlanFor is Plan restricted to groups with a member in a selected data centre. Laying out a
+// group takes long, and each host that gives orders is responsible for few data centres.
 func PlanFor(m Model, members []Member, selected func(name string) bool) []Move {
 	var out []Move
 	for _, group := range formGroups(m, members) {
@@ -101,9 +101,9 @@
 	return out
 }
 
-// formGroups are the members that hold whole models together: those of a data
-// centre where that fits, else those of all data centres where it doesn't. When
-// these fall short too, all members are one group.
+// formGroups divides members into groups that each hold a whole model: one for each data
+// centre that can hold it alone, and one for the members of all other data centres. If the
+// latter cannot hold the model together either, all members form one group.
 func formGroups(m Model, members []Member) [][]Member {
 	byDataCentre := make(map[string][]Member)
 	for _, x := range members {
@@ -112,8 +112,8 @@
 	var out [][]Member
 	var rest []Member
 	for _, dc := range sortedKeys(byDataCentre) {
-		// One that holds a model stays by itself: when it is cut off, entries of
-		// its members lapse, and the others must not move into its gaps.
+		// A data centre that holds the model remains its own group: while it is cut off, the
+		// entries of its members lapse, and other members must not move into its gaps.
 		if canHoldModel(m, byDataCentre[dc]) || holdsMostLayers(m, byDataCentre[dc]) {
 			out = append(out, byDataCentre[dc])
 		} else {
@@ -129,14 +129,15 @@
 	return [][]Member{members}
 }
 
-// holdsMostLayers reports whether members hold all layers, or nearly: one was lost.
+// holdsMostLayers reports whether members hold more than half of the layers, as they do
+// after one of them is lost.
 func holdsMostLayers(m Model, members []Member) bool {
 	holders := newCoverage(m)
 	for _, x := range members {
 		holders.add(x.Held, 1)
 	}
 	n := 0
-	for _, count := range holders.count {
+	for _, count := range holders.n {
 		if count > 0 {
 			n++
 		}
@@ -144,6 +145,8 @@
 	return 2*n > m.Layers
 }
 
+// canHoldModel reports whether members have memory for all layers and the cache of
+// minRequests requests.
 func canHoldModel(m Model, members []Member) bool {
 	n := 0
 	for _, x := range members {
@@ -152,7 +155,8 @@
 	return n >= m.Layers
 }
 
-// maxLayers is how many layers a card holds that keeps room for some requests.
+// maxLayers returns how many layers fit into mb beside the cache of the given number of
+// requests.
 func maxLayers(m Model, mb, requests float64) int {
 	n := int(mb / (m.LayerMB + requests*m.Tokens*m.TokenMB))
 	return max(0, min(n, m.Layers))
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -12,7 +12,7 @@
 	"github.com/sardineward/sardineward/placer"
 )
 
-// model has 80 layers, with room for one usual request in about 6.5 MB a layer.
+// model has 80 layers; a typical request takes about 6.5 MB of cache memory in each.
 var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, Tokens: 879, Step: 1.02, Request: 0.01}
 
 // cardKind is a kind of accelerator.
@@ -24,7 +24,7 @@
 	slow  = cardKind{21600, 16}
 )
 
-// fleet makes members of a data centre.
+// fleet returns members of three kinds in one data centre.
 func fleet(dc string, larges, quicks, slows int) []placer.Member {
 	var out []placer.Member
 	counts := [3]int{larges, quicks, slows}
@@ -36,7 +36,7 @@
 	return out
 }
 
-// apply carries moves out.
+// apply carries out moves.
 func apply(members []placer.Member, moves []placer.Move) {
 	for _, m := range moves {
 		for i := range members {
@@ -47,7 +47,7 @@
 	}
 }
 
-// countHolders counts who can be reached and holds each layer in a data centre.
+// countHolders counts the reachable holders of each layer in a data centre; "" means all.
 func countHolders(members []placer.Member, dc string) []int {
 	out := make([]int, model.Layers)
 	for _, x := range members {
@@ -65,7 +65,7 @@
 	t.Helper()
 	for l, n := range countHolders(members, dc) {
 		if n == 0 {
-			t.Fatalf("nobody in %q holds layer %d", dc, l)
+			t.Fatalf("no member in %q holds layer %d", dc, l)
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	}
 }
 
-// maxArrivalRate is the highest rate of arrivals of a data centre: the requests at once
-// that fit over the time that each takes, with all of them in the batches.
+// maxArrivalRate returns the highest sustainable rate of arrivals: the requests that fit into
+// cache memory at once, over the time of each when all of them are in the batches.
 func maxArrivalRate(members []placer.Member) float64 {
 	holders := countHolders(members, "")
 	concurrency, t0, t1 := 1e9, 0.0, 0.0
@@ -113,7 +113,7 @@
 	return concurrency / (t0 + t1*concurrency)
 }
 
-// TestFasterThanFixedLayout guards against a layout in which slow cards make every answer late.
+// TestFasterThanFixedLayout guards against a layout in which slow members delay every answer.
 func TestFasterThanFixedLayout(t *testing.T) {
 	for _, tc := range [][3]int{{1, 6, 6}, {1, 10, 4}, {2, 4, 4}} {
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
@@ -130,15 +130,14 @@
 				}
 			}
 			got, base := maxArrivalRate(members), maxArrivalRate(fixed)
-			t.Logf("%.2f against %.2f requests a unit of time", got, base)
+			t.Logf("%.2f requests per unit of time, %.2f with the fixed layout", got, base)
 			is.New(t).True(got > base)
 		})
 	}
 }
 
-// TestLost. A card is lost for good. What it held must be held again by one
-// order, by a member whose own layers others hold, or by the empty one that
-// replaces it; nobody else moves.
+// TestLost guards against layers of a member lost for good that stay without a holder, or that
+// move more members than the empty replacement or those whose layers have other holders.
 func TestLost(t *testing.T) {
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
@@ -167,8 +166,8 @@
 	}
 }
 
-// TestMissing. An upstream crashes and is back in some seconds. Its layers are
-// no gap meanwhile: moving others there would cost them their own requests.
+// TestUnreachableMemberKept guards against moving members into the place of an upstream that
+// crashed and is back in seconds, which would cost the moved members their own requests.
 func TestUnreachableMemberKept(t *testing.T) {
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
@@ -176,9 +175,8 @@
 	is.New(t).Equal(len(placer.Plan(model, members)), 0)
 }
 
-// TestAccepted. An upstream was ordered to take a lost range and drains first.
-// A second and a third one were ordered to the same range meanwhile, and left
-// theirs.
+// TestNoSecondOrderWhilePending guards against a second and a third member that give up their
+// layers for a lost span while the first one ordered to take it is still draining.
 func TestNoSecondOrderWhilePending(t *testing.T) {
 	is := is.New(t)
 	members := fleet("a", 1, 6, 6)
@@ -195,8 +193,8 @@
 	is.Equal(len(placer.Plan(model, members)), 0)
 }
 
-// TestCutOff. A data centre is cut off and the entries of its members lapse one
-// after the other. Members of the others must not be moved into its gaps.
+// TestPartitionedDataCentre guards against members that move into the gaps of another data
+// centre when it is cut off and the entries of its members lapse one after the other.
 func TestPartitionedDataCentre(t *testing.T) {
 	is := is.New(t)
 	members := append(fleet("a", 1, 6, 6), fleet("b", 1, 10, 4)...)
@@ -212,8 +210,8 @@
 	}
 }
 
-// TestPoorDataCentre. One data centre has too few cards for a model and holds
-// it together with another one.
+// TestModelAcrossDataCentres checks that a data centre with too few accelerators for a model
+// holds it together with another one.
 func TestModelAcrossDataCentres(t *testing.T) {
 	members := append(fleet("a", 0, 2, 1), fleet("b", 1, 8, 6)...)
 	apply(members, placer.Plan(model, members))
@@ -221,8 +219,8 @@
 	assertFits(t, members)
 }
 
-// TestSpare. An empty one that was added waits for the one that it replaces to
-// drain, and only then helps where the layers take most time.
+// TestAddedMemberWaits guards against orders to an added empty member while the member that it
+// replaces may still drain. After that it goes where the layers take the longest step time.
 func TestAddedMemberWaits(t *testing.T) {
 	is := is.New(t)
 	members := fleet("a", 1, 6, 6)
@@ -235,9 +233,8 @@
 	is.Equal(moves[0].ID, "new")
 }
 
-// TestRandomFleets plays crashes, returns and losses on fleets that nobody has
-// seen: no order may overfill a card, and what is lost is held again while the
-// members that are left can hold the model.
+// TestRandomFleets guards against overfilled members, and against lost layers without a holder
+// while the rest can hold the model, in random sequences of crashes, returns and losses.
 func TestRandomFleets(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -267,8 +264,8 @@
 	}
 }
 
-// TestGapSplitEvenly guards against a gap of which one member takes all that fits, so that it
-// has room for few requests, and the next one a single layer.
+// TestGapSplitEvenly guards against a gap of which one member takes all that fits, which leaves
+// it cache memory for few requests, while the next member takes a single layer.
 func TestGapSplitEvenly(t *testing.T) {
 	is := is.New(t)
 	members := fleet("a", 2, 0, 30)
@@ -289,8 +286,8 @@
 	}
 }
 
-// TestLargeGroup guards against a large data centre whose members nearly all hold the
-// same few layers.
+// TestLargeGroup guards against a large data centre in which nearly all members hold the same
+// few layers.
 func TestLargeGroup(t *testing.T) {
 	minHolders := func(members []placer.Member) int {
 		apply(members, placer.Plan(model, members))
