--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -40,24 +40,24 @@
 }
 
 const (
-	// period is the time between two looks at the layout, and idlePeriod on a host
+	// planPeriod is the time between two looks at the layout, and idlePeriod on a host
 	// that gives no orders and only remembers what was listed.
-	period     = 250 * time.Millisecond
+	planPeriod = 250 * time.Millisecond
 	idlePeriod = time.Second
-	// patience is how long an order that was accepted is awaited before the list
+	// pendingTimeout is how long an order that was accepted is awaited before the list
 	// is believed again. An upstream first drains the streams over what it gives
 	// up; with four seconds a second and a third one were sent for the same gap.
-	patience = 20 * time.Second
-	// refused is how long one that was refused, or not answered, is left alone.
-	refused = time.Second
-	// timeout bounds one order: a hundred times the way there and back.
-	timeout = 500 * time.Millisecond
-	// settle is how long the fleet must not have grown before the first layout
+	pendingTimeout = 20 * time.Second
+	// retryDelay is how long one that was refused, or not answered, is left alone.
+	retryDelay = time.Second
+	// orderTimeout bounds one order: a hundred times the way there and back.
+	orderTimeout = 500 * time.Millisecond
+	// settleTime is how long the fleet must not have grown before the first layout
 	// is made, so that one plan has all of it: upstreams appear over a heartbeat.
-	settle = 900 * time.Millisecond
-	// returns is how long the place of one that is no longer listed is kept:
+	settleTime = 900 * time.Millisecond
+	// returnGrace is how long the place of one that is no longer listed is kept:
 	// some seconds of a crash less the heartbeats until its entry lapses.
-	returns = 4 * time.Second
+	returnGrace = 4 * time.Second
 )
 
 // Orderer gives orders. The fields are set before Run.
@@ -74,41 +74,41 @@
 	Now func() time.Duration
 	Log zerolog.Logger
 
-	// grown is when the fleet was last seen to grow before the first layout,
+	// grownAt is when the fleet was last seen to grow before the first layout,
 	// and size how many it had.
-	grown   time.Duration
-	size    int
-	settled bool
-	last    map[string]remembered
+	grownAt    time.Duration
+	fleetSize  int
+	settled    bool
+	lastListed map[string]listedMember
 
-	mu      sync.Mutex
-	pending map[string]pending
-	taken   map[string]taken
+	mu          sync.Mutex
+	pending     map[string]pendingOrder
+	orderCounts map[string]orderCount
 }
 
-// taken is how many orders an upstream took since its start.
-type taken struct {
-	orders, born int64
+// orderCount is how many orders an upstream took since its start.
+type orderCount struct {
+	orders, startedAt int64
 }
 
-// pending is an order that the list does not show yet.
-type pending struct {
+// pendingOrder is an order that the list does not show yet.
+type pendingOrder struct {
 	span placer.Span
-	// born is the start of the upstream that it was given to.
-	born  int64
-	until time.Duration
+	// startedAt is the start of the upstream that it was given to.
+	startedAt int64
+	until     time.Duration
 	// failed is set where it was refused or not answered.
 	failed bool
 }
 
 // Run gives orders until ctx ends.
 func (o *Orderer) Run(ctx context.Context) {
-	o.pending = make(map[string]pending)
-	o.taken = make(map[string]taken)
-	o.last = make(map[string]remembered)
-	tick := time.NewTicker(period)
+	o.pending = make(map[string]pendingOrder)
+	o.orderCounts = make(map[string]orderCount)
+	o.lastListed = make(map[string]listedMember)
+	tick := time.NewTicker(planPeriod)
 	defer tick.Stop()
-	var looked time.Duration
+	var lastPlanned time.Duration
 	for {
 		select {
 		case <-ctx.Done():
@@ -117,26 +117,26 @@
 		}
 		holds := o.HoldsAny()
 		if !holds {
-			o.forget()
+			o.forgetOrders()
 		}
-		if now := o.Now(); o.settled && !holds && now-looked < idlePeriod-period/2 {
+		if now := o.Now(); o.settled && !holds && now-lastPlanned < idlePeriod-planPeriod/2 {
 			continue
 		}
-		looked = o.Now()
+		lastPlanned = o.Now()
 		for _, s := range o.Services() {
 			if s.Engine != nil && s.Engine.Layers > 0 {
-				o.place(ctx, s, holds)
+				o.placeService(ctx, s, holds)
 			}
 		}
 	}
 }
 
-// place looks at one service, and gives orders where this host holds a duty. Where
+// placeService looks at one service, and gives orders where this host holds a duty. Where
 // it does not, it still remembers what was listed: a duty is mostly taken right
 // after an outage or a cut, while entries that lapsed in it are on their way back.
-func (o *Orderer) place(ctx context.Context, s *matcher.Service, holds bool) {
+func (o *Orderer) placeService(ctx context.Context, s *matcher.Service, holds bool) {
 	fleet := o.Balancer.Fleet(o.Now(), s.Name)
-	if len(fleet) == 0 || !o.settle(len(fleet)) {
+	if len(fleet) == 0 || !o.fleetSettled(len(fleet)) {
 		return
 	}
 	byID := make(map[string]*balancer.Member, len(fleet))
@@ -146,54 +146,54 @@
 		u := &fleet[i]
 		if u.Leaving {
 			// It does not come back: what it holds is a gap from now on.
-			delete(o.last, u.Address)
+			delete(o.lastListed, u.Address)
 			continue
 		}
 		byID[u.ID] = u
 		addresses[u.ID] = u.Address
-		members = append(members, o.member(s.Engine, u))
+		members = append(members, o.memberOf(s.Engine, u))
 	}
-	members = o.remember(members, addresses)
+	members = o.addRecentlyListed(members, addresses)
 	if !holds {
 		return
 	}
-	for _, m := range placer.PlanFor(model(s.Engine), members, o.Holds) {
+	for _, m := range placer.PlanFor(modelOf(s.Engine), members, o.Holds) {
 		u := byID[m.ID]
 		if u == nil || u.Out || !o.Holds(u.DataCentre) {
 			continue
 		}
-		o.expect(s.Engine, u, m.Span)
-		go o.order(ctx, u, m.Span)
+		o.addPending(s.Engine, u, m.Span)
+		go o.sendOrder(ctx, u, m.Span)
 	}
 }
 
-// remember adds members that were listed a moment ago, and notes since when the
+// addRecentlyListed adds members that were listed a moment ago, and notes since when the
 // empty ones are. One that crashed is listed again within seconds, empty and
 // maybe under another name, at the same address.
-func (o *Orderer) remember(members []placer.Member, addresses map[string]string) []placer.Member {
+func (o *Orderer) addRecentlyListed(members []placer.Member, addresses map[string]string) []placer.Member {
 	now := o.Now()
 	listed := make(map[string]bool, len(members))
 	for i := range members {
 		m := &members[i]
 		address := addresses[m.ID]
 		listed[address] = true
-		r, known := o.last[address]
+		r, known := o.lastListed[address]
 		switch {
 		case m.Held.Len() > 0:
-			o.last[address] = remembered{*m, now, 0}
+			o.lastListed[address] = listedMember{*m, now, 0}
 		case !known || r.emptySince == 0:
-			o.last[address] = remembered{*m, now, now}
+			o.lastListed[address] = listedMember{*m, now, now}
 		default:
 			m.Waited = now - r.emptySince
 		}
 	}
-	for _, address := range slices.Sorted(maps.Keys(o.last)) {
-		r := o.last[address]
+	for _, address := range slices.Sorted(maps.Keys(o.lastListed)) {
+		r := o.lastListed[address]
 		if listed[address] {
 			continue
 		}
-		if now-r.seen > returns || r.member.Held.Len() == 0 {
-			delete(o.last, address)
+		if now-r.seenAt > returnGrace || r.member.Held.Len() == 0 {
+			delete(o.lastListed, address)
 			continue
 		}
 		r.member.Missing, r.member.Pending = true, false
@@ -202,33 +202,33 @@
 	return members
 }
 
-// remembered is a member as it was last listed.
-type remembered struct {
+// listedMember is a member as it was last listed.
+type listedMember struct {
 	member placer.Member
-	seen   time.Duration
+	seenAt time.Duration
 	// emptySince is since when it holds nothing; 0 while it holds layers.
 	emptySince time.Duration
 }
 
-// settle reports whether the fleet was seen whole once.
-func (o *Orderer) settle(size int) bool {
-	if size > o.size {
-		o.size = size
-		o.grown = o.Now()
+// fleetSettled reports whether the fleet was seen whole once.
+func (o *Orderer) fleetSettled(size int) bool {
+	if size > o.fleetSize {
+		o.fleetSize = size
+		o.grownAt = o.Now()
 	}
-	o.settled = o.settled || o.Now()-o.grown >= settle
+	o.settled = o.settled || o.Now()-o.grownAt >= settleTime
 	return o.settled
 }
 
-// forget drops what is known of orders: another host gives them now.
-func (o *Orderer) forget() {
+// forgetOrders drops what is known of orders: another host gives them now.
+func (o *Orderer) forgetOrders() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	clear(o.pending)
-	clear(o.taken)
+	clear(o.orderCounts)
 }
 
-func model(e *matcher.Engine) placer.Model {
+func modelOf(e *matcher.Engine) placer.Model {
 	return placer.Model{
 		Layers:  e.Layers,
 		LayerMB: e.LayerMB,
@@ -241,12 +241,12 @@
 	}
 }
 
-// member is an upstream as the layout sees it. While an order is under way it is
+// memberOf is an upstream as the layout sees it. While an order is under way it is
 // taken to hold what it was ordered: it takes nothing new for its old layers.
-func (o *Orderer) member(e *matcher.Engine, u *balancer.Member) placer.Member {
+func (o *Orderer) memberOf(e *matcher.Engine, u *balancer.Member) placer.Member {
 	card := balancer.CardOf(e, u.Card)
 	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Holds), Missing: u.Out, Streams: u.Streams}
-	if o.awaits(u) {
+	if o.orderPending(u) {
 		m.Pending = true
 		o.mu.Lock()
 		m.Held = o.pending[u.ID].span
@@ -255,8 +255,8 @@
 	return m
 }
 
-// awaits reports whether an order to u is under way.
-func (o *Orderer) awaits(u *balancer.Member) bool {
+// orderPending reports whether an order to u is under way.
+func (o *Orderer) orderPending(u *balancer.Member) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	p, ok := o.pending[u.ID]
@@ -264,68 +264,68 @@
 		return false
 	}
 	done := p.span.Len() > 0 && placer.Span(u.Holds) == p.span && !p.failed
-	if done || p.born != u.Born || o.Now() > p.until {
+	if done || p.startedAt != u.Born || o.Now() > p.until {
 		delete(o.pending, u.ID)
 		return false
 	}
 	return true
 }
 
-func (o *Orderer) expect(e *matcher.Engine, u *balancer.Member, span placer.Span) {
-	load := time.Duration(float64(e.LoadTime) * float64(span.Len()) / float64(e.Layers))
+func (o *Orderer) addPending(e *matcher.Engine, u *balancer.Member, span placer.Span) {
+	loadTime := time.Duration(float64(e.LoadTime) * float64(span.Len()) / float64(e.Layers))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pending[u.ID] = pending{span: span, born: u.Born, until: o.Now() + load + patience}
+	o.pending[u.ID] = pendingOrder{span: span, startedAt: u.Born, until: o.Now() + loadTime + pendingTimeout}
 }
 
-// order gives one order. Where the count of orders is not known, or was wrong,
+// sendOrder gives one order. Where the count of orders is not known, or was wrong,
 // the upstream is asked for it.
-func (o *Orderer) order(ctx context.Context, u *balancer.Member, span placer.Span) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+func (o *Orderer) sendOrder(ctx context.Context, u *balancer.Member, span placer.Span) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := o.try(ctx, u, span)
+	err := o.tryOrder(ctx, u, span)
 	if errors.Is(err, ErrRefused) {
-		o.learn(ctx, u)
-		err = o.try(ctx, u, span)
+		o.fetchCount(ctx, u)
+		err = o.tryOrder(ctx, u, span)
 	}
 	if err != nil {
 		o.mu.Lock()
-		delete(o.taken, u.ID)
-		o.pending[u.ID] = pending{span: placer.Span(u.Holds), born: u.Born, until: o.Now() + refused, failed: true}
+		delete(o.orderCounts, u.ID)
+		o.pending[u.ID] = pendingOrder{span: placer.Span(u.Holds), startedAt: u.Born, until: o.Now() + retryDelay, failed: true}
 		o.mu.Unlock()
 	}
 	o.Log.Info().Err(err).Str("upstream", u.ID).Str("address", u.Address).Int("from", span.From).Int("to", span.To).
 		Msg("orderer: order given")
 }
 
-func (o *Orderer) try(ctx context.Context, u *balancer.Member, span placer.Span) error {
+func (o *Orderer) tryOrder(ctx context.Context, u *balancer.Member, span placer.Span) error {
 	// A host was suspended past its lease and gave orders beside its successor;
 	// the lease is looked at right before the order is sent.
 	if !o.Holds(u.DataCentre) {
 		return ErrRefused
 	}
-	n := o.count(u)
+	n := o.expectedCount(u)
 	err := o.Engines.Place(ctx, u.Address, balancer.Span(span), n)
 	if err == nil {
 		o.mu.Lock()
-		o.taken[u.ID] = taken{orders: n + 1, born: u.Born}
+		o.orderCounts[u.ID] = orderCount{orders: n + 1, startedAt: u.Born}
 		o.mu.Unlock()
 	}
 	return err
 }
 
-// count is how many orders an upstream has taken: none since its start, unless
+// expectedCount is how many orders an upstream has taken: none since its start, unless
 // this host knows better.
-func (o *Orderer) count(u *balancer.Member) int64 {
+func (o *Orderer) expectedCount(u *balancer.Member) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if t := o.taken[u.ID]; t.born == u.Born {
+	if t := o.orderCounts[u.ID]; t.startedAt == u.Born {
 		return t.orders
 	}
 	return 0
 }
 
-func (o *Orderer) learn(ctx context.Context, u *balancer.Member) {
+func (o *Orderer) fetchCount(ctx context.Context, u *balancer.Member) {
 	n, err := o.Engines.Taken(ctx, u.Address)
 	if err != nil {
 		o.Log.Debug().Err(err).Str("upstream", u.ID).Msg("orderer: count of orders not learnt")
@@ -333,5 +333,5 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.taken[u.ID] = taken{orders: n, born: u.Born}
+	o.orderCounts[u.ID] = orderCount{orders: n, startedAt: u.Born}
 }
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -19,46 +19,46 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// engines carries orders out after a while and lists what it holds.
-type engines struct {
-	mu     sync.Mutex
-	b      *balancer.Balancer
-	taken  map[string]int64
-	orders int
-	// refuse is how many orders of each engine are turned away.
-	refuse map[string]int
-	// drain is how long an engine takes to hold what it was ordered.
-	drain time.Duration
-	list  map[string]balancer.Upstream
+// fakeEngines carries orders out after a while and lists what it holds.
+type fakeEngines struct {
+	mu          sync.Mutex
+	b           *balancer.Balancer
+	orderCounts map[string]int64
+	orders      int
+	// refusals is how many orders of each engine are turned away.
+	refusals map[string]int
+	// drainTime is how long an engine takes to hold what it was ordered.
+	drainTime time.Duration
+	upstreams map[string]balancer.Upstream
 }
 
-func (e *engines) Place(_ context.Context, address string, s balancer.Span, expected int64) error {
+func (e *fakeEngines) Place(_ context.Context, address string, s balancer.Span, expected int64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders++
-	if e.refuse[address] > 0 {
-		e.refuse[address]--
+	if e.refusals[address] > 0 {
+		e.refusals[address]--
 		return orderer.ErrRefused
 	}
-	if e.taken[address] != expected {
+	if e.orderCounts[address] != expected {
 		return orderer.ErrRefused
 	}
-	e.taken[address]++
-	u := e.list[address]
+	e.orderCounts[address]++
+	u := e.upstreams[address]
 	u.Holds = s
-	e.list[address] = u
-	time.AfterFunc(e.drain, func() { e.b.List([]balancer.Upstream{u}, nil) })
+	e.upstreams[address] = u
+	time.AfterFunc(e.drainTime, func() { e.b.List([]balancer.Upstream{u}, nil) })
 	return nil
 }
 
-func (e *engines) Taken(_ context.Context, address string) (int64, error) {
+func (e *fakeEngines) Taken(_ context.Context, address string) (int64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.taken[address], nil
+	return e.orderCounts[address], nil
 }
 
-// run has an orderer look after twelve engines in virtual time.
-func run(t *testing.T, f func(e *engines, holds *atomic.Bool)) {
+// runOrderer has an orderer look after twelve engines in virtual time.
+func runOrderer(t *testing.T, f func(e *fakeEngines, holds *atomic.Bool)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
 		service := &matcher.Service{Name: "model", Engine: &matcher.Engine{
@@ -68,10 +68,10 @@
 		services := map[string]*matcher.Service{"model": service}
 		b := &balancer.Balancer{Policy: picker.Cheapest{}, Rand: rand.New(rand.NewPCG(1, 1))}
 		b.Configure(services)
-		e := &engines{b: b, taken: make(map[string]int64), refuse: make(map[string]int), drain: time.Second, list: make(map[string]balancer.Upstream)}
+		e := &fakeEngines{b: b, orderCounts: make(map[string]int64), refusals: make(map[string]int), drainTime: time.Second, upstreams: make(map[string]balancer.Upstream)}
 		for n := range 12 {
 			u := balancer.Upstream{ID: fmt.Sprint("e", n), Service: "model", Address: fmt.Sprint("10.0.0.", n), DataCentre: "a", Card: "x", Born: 1}
-			e.list[u.Address] = u
+			e.upstreams[u.Address] = u
 			b.List([]balancer.Upstream{u}, nil)
 		}
 		var holds atomic.Bool
@@ -96,7 +96,7 @@
 }
 
 // assertCovered checks that every layer is held by an engine that is listed.
-func (e *engines) assertCovered(t *testing.T) {
+func (e *fakeEngines) assertCovered(t *testing.T) {
 	t.Helper()
 	held := make([]bool, 40)
 	for _, u := range e.b.Listed() {
@@ -111,39 +111,39 @@
 	}
 }
 
-func (e *engines) count() int {
+func (e *fakeEngines) orderCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orders
 }
 
-func TestLaidOut(t *testing.T) {
-	run(t, func(e *engines, _ *atomic.Bool) {
+func TestInitialLayout(t *testing.T) {
+	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		is := is.New(t)
 		time.Sleep(5 * time.Second)
 		e.assertCovered(t)
-		is.Equal(e.count(), 12) // one order an engine
+		is.Equal(e.orderCount(), 12) // one order an engine
 		time.Sleep(time.Minute)
-		is.Equal(e.count(), 12) // and none after
+		is.Equal(e.orderCount(), 12) // and none after
 	})
 }
 
 // TestNotHolder. A host that does not hold the duty gives no order.
-func TestNotHolder(t *testing.T) {
-	run(t, func(e *engines, holds *atomic.Bool) {
+func TestNoOrdersWithoutDuty(t *testing.T) {
+	runOrderer(t, func(e *fakeEngines, holds *atomic.Bool) {
 		holds.Store(false)
 		time.Sleep(10 * time.Second)
-		is.New(t).Equal(e.count(), 0)
+		is.New(t).Equal(e.orderCount(), 0)
 	})
 }
 
 // TestCountWrong. A new holder does not know how many orders an engine has
 // taken. Its order is refused, and it asks before the next.
-func TestCountWrong(t *testing.T) {
-	run(t, func(e *engines, _ *atomic.Bool) {
+func TestUnknownOrderCount(t *testing.T) {
+	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		e.mu.Lock()
-		for address := range e.list {
-			e.taken[address] = 3
+		for address := range e.upstreams {
+			e.orderCounts[address] = 3
 		}
 		e.mu.Unlock()
 		time.Sleep(10 * time.Second)
@@ -153,14 +153,14 @@
 
 // TestLeaves. An engine reports that it leaves, and an empty one comes. Its
 // layers are ordered from the new one at once.
-func TestLeaves(t *testing.T) {
-	run(t, func(e *engines, _ *atomic.Bool) {
+func TestLeavingEngineReplaced(t *testing.T) {
+	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		time.Sleep(10 * time.Second)
 		fresh := balancer.Upstream{ID: "new", Service: "model", Address: "10.0.0.99", DataCentre: "a", Card: "x", Born: 9}
 		e.mu.Lock()
-		u := e.list["10.0.0.3"]
+		u := e.upstreams["10.0.0.3"]
 		u.Leaving = true
-		e.list[fresh.Address] = fresh
+		e.upstreams[fresh.Address] = fresh
 		e.mu.Unlock()
 		e.b.List([]balancer.Upstream{u, fresh}, nil)
 		time.Sleep(1500 * time.Millisecond)
@@ -169,48 +169,48 @@
 	})
 }
 
-// TestTakenOver guards against engines moved for layers whose holders are on their way
+// TestNoMovesAfterPartition guards against engines moved for layers whose holders are on their way
 // back after a cut.
-func TestTakenOver(t *testing.T) {
-	run(t, func(e *engines, holds *atomic.Bool) {
+func TestNoMovesAfterPartition(t *testing.T) {
+	runOrderer(t, func(e *fakeEngines, holds *atomic.Bool) {
 		is := is.New(t)
 		time.Sleep(10 * time.Second)
 		holds.Store(false)
-		before := e.count()
+		before := e.orderCount()
 		time.Sleep(5 * time.Second)
-		late := []string{"10.0.0.3", "10.0.0.4", "10.0.0.8"}
+		lapsed := []string{"10.0.0.3", "10.0.0.4", "10.0.0.8"}
 		e.mu.Lock()
-		var back []balancer.Upstream
+		var returning []balancer.Upstream
 		var gone []string
-		for _, address := range late {
-			back = append(back, e.list[address])
-			gone = append(gone, e.list[address].ID)
+		for _, address := range lapsed {
+			returning = append(returning, e.upstreams[address])
+			gone = append(gone, e.upstreams[address].ID)
 		}
 		e.mu.Unlock()
 		e.b.List(nil, gone)
 		time.Sleep(time.Second)
 		holds.Store(true)
 		time.Sleep(1500 * time.Millisecond)
-		e.b.List(back, nil)
+		e.b.List(returning, nil)
 		time.Sleep(10 * time.Second)
-		is.Equal(e.count(), before)
+		is.Equal(e.orderCount(), before)
 		e.assertCovered(t)
 	})
 }
 
 // TestSlowDrain. An engine that was ordered to take a lost range drains for long
 // before it does. No second one may be sent there and leave its own.
-func TestSlowDrain(t *testing.T) {
-	run(t, func(e *engines, _ *atomic.Bool) {
+func TestNoSecondOrderWhileDraining(t *testing.T) {
+	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		is := is.New(t)
 		time.Sleep(10 * time.Second)
-		before := e.count()
+		before := e.orderCount()
 		e.mu.Lock()
-		e.drain = 10 * time.Second
+		e.drainTime = 10 * time.Second
 		e.mu.Unlock()
 		e.b.List(nil, []string{"e3"})
 		time.Sleep(18 * time.Second)
-		is.True(e.count() <= before+1)
+		is.True(e.orderCount() <= before+1)
 		e.assertCovered(t)
 	})
 }
