--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -1,10 +1,9 @@
-// Package orderer has the layout that placer decides carried out, on the one
-// host that holds the duty for a data centre.
+// Package orderer carries out the layouts that package placer decides. For each data centre one
+// host does so: the one that holds its duty, the exclusive right to give orders to its upstreams.
 //
-// An order names how many orders the upstream must have taken before. One that
-// is carried out late, after newer ones, is refused by that; and a host that
-// was suspended and still believes it holds the duty can't undo what its
-// successor ordered.
+// Each order states how many orders the upstream must have taken before it. An upstream thereby
+// refuses an order that arrives late, after newer ones, and a host that was suspended and still
+// believes that it holds the duty cannot undo the orders of its successor.
 package orderer
 
 import (
@@ -22,71 +21,74 @@
 	"github.com/sardineward/sardineward/placer"
 )
 
-// Errors of an order.
+// Errors of Engines.
 var (
-	// ErrRefused: the upstream's state is not the expected one.
-	ErrRefused = errors.New("orderer: upstream is in another state")
-	// ErrUncertain: no answer came; the order may be carried out, also late.
-	ErrUncertain = errors.New("orderer: no answer")
+	// ErrRefused means that the upstream is not in the expected state.
+	ErrRefused = errors.New("orderer: upstream is not in the expected state")
+	// ErrUncertain means that no answer came. The order may still be carried out, even late.
+	ErrUncertain = errors.New("orderer: no answer from the upstream")
 )
 
-// Engines is the seam to upstreams.
+// Engines sends orders to upstreams.
 type Engines interface {
-	// Place orders an upstream to hold a range of layers. expected is how many
-	// orders it has taken.
+	// Place orders an upstream to hold a span of layers. expected is the number of orders
+	// that it must have taken before; otherwise the error wraps ErrRefused.
 	Place(ctx context.Context, address string, span balancer.Span, expected int64) error
-	// Taken returns how many orders an upstream has taken since its start.
+	// Taken returns the number of orders that an upstream has taken since its start.
 	Taken(ctx context.Context, address string) (int64, error)
 }
 
 const (
-	// planPeriod is the time between two looks at the layout, and idlePeriod on a host
-	// that gives no orders and only remembers what was listed.
+	// planPeriod is the time between two comparisons of the fleet with its layout. idlePeriod
+	// replaces it on a host that gives no orders and only records which members are listed.
 	planPeriod = 250 * time.Millisecond
 	idlePeriod = time.Second
-	// pendingTimeout is how long an order that was accepted is awaited before the list
-	// is believed again. An upstream first drains the streams over what it gives
-	// up; with four seconds a second and a third one were sent for the same gap.
+	// pendingTimeout is how long an accepted order counts as pending, beyond its load time,
+	// while the list does not show it. An upstream first drains the streams that use the layers
+	// it gives up; with four seconds, a second and a third upstream were sent for the same gap.
 	pendingTimeout = 20 * time.Second
-	// retryDelay is how long one that was refused, or not answered, is left alone.
+	// retryDelay is the time without orders to an upstream that refused one or did not answer.
 	retryDelay = time.Second
-	// orderTimeout bounds one order: a hundred times the way there and back.
+	// orderTimeout bounds one order and its retry: a hundred round trips.
 	orderTimeout = 500 * time.Millisecond
-	// settleTime is how long the fleet must not have grown before the first layout
-	// is made, so that one plan has all of it: upstreams appear over a heartbeat.
+	// settleTime is how long the fleet must not have grown before the first layout, so that
+	// the layout includes all of it: its upstreams appear over the course of a heartbeat.
 	settleTime = 900 * time.Millisecond
-	// returnGrace is how long the place of one that is no longer listed is kept:
-	// some seconds of a crash less the heartbeats until its entry lapses.
+	// returnGrace is how long an upstream that is no longer listed keeps its place: the
+	// seconds that a crash takes, less the heartbeats until its entry lapses.
 	returnGrace = 4 * time.Second
 )
 
-// Orderer gives orders. The fields are set before Run.
+// Orderer gives orders to upstreams. The exported fields are set before Run.
 type Orderer struct {
 	Balancer *balancer.Balancer
 	Engines  Engines
-	// Services returns the services in force.
+	// Services returns the services in force by name.
 	Services func() map[string]*matcher.Service
-	// Holds reports whether this host surely holds the duty for a data centre,
-	// HoldsAny whether it does for any.
+	// Holds reports whether this host holds the duty for a data centre, HoldsAny whether it
+	// holds any. Both return false in case of doubt.
 	Holds    func(dataCentre string) bool
 	HoldsAny func() bool
-	// Now is a clock that goes on while the machine is suspended.
+	// Now is a clock that also advances while the machine is suspended.
 	Now func() time.Duration
 	Log zerolog.Logger
 
-	// grownAt is when the fleet was last seen to grow before the first layout,
-	// and size how many it had.
-	grownAt    time.Duration
-	fleetSize  int
-	settled    bool
+	// grownAt is when the fleet was last seen to grow before the first layout, fleetSize the
+	// number of its members then. settled is set once it has stopped growing.
+	grownAt   time.Duration
+	fleetSize int
+	settled   bool
+	// lastListed holds the members seen recently, by address.
 	lastListed map[string]listedMember
 
-	mu          sync.Mutex
-	pending     map[string]pendingOrder
-	orderCounts map[string]orderCount
+	mu sync.Mutex
+	// pendingOrder and orderCounts are keyed by the ID of the upstream.
+	pendingOrder map[string]pendingOrder
+	orderCount   map[string]orderCount
 }
 
-// orderCount is how many orders an upstream took since its start.
+// orderCount is the number of orders that an upstream has taken since its start, given in
+// Unix milliseconds.
 type orderCount struct {
 	orders, startedAt int64
 }
@@ -94,17 +96,17 @@
 // pendingOrder is an order that the list does not show yet.
 type pendingOrder struct {
 	span placer.Span
-	// startedAt is the start of the upstream that it was given to.
+	// startedAt tells the incarnation of the upstream that got the order.
 	startedAt int64
 	until     time.Duration
-	// failed is set where it was refused or not answered.
+	// failed is set if the order was refused or not answered.
 	failed bool
 }
 
 // Run gives orders until ctx ends.
 func (o *Orderer) Run(ctx context.Context) {
-	o.pending = make(map[string]pendingOrder)
-	o.orderCounts = make(map[string]orderCount)
+	o.pendingOrder = make(map[string]pendingOrder)
+	o.orderCount = make(map[string]orderCount)
 	o.lastListed = make(map[string]listedMember)
 	tick := time.NewTicker(planPeriod)
 	defer tick.Stop()
@@ -131,9 +133,9 @@
 	}
 }
 
-// placeService looks at one service, and gives orders where this host holds a duty. Where
-// it does not, it still remembers what was listed: a duty is mostly taken right
-// after an outage or a cut, while entries that lapsed in it are on their way back.
+// placeService compares one service with its layout, and gives orders if this host holds a duty.
+// If not, it still records which members are listed: a duty is mostly taken right after an
+// outage or a network partition, when entries that lapsed meanwhile are about to return.
 func (o *Orderer) placeService(ctx context.Context, s *matcher.Service, holds bool) {
 	fleet := o.Balancer.Fleet(o.Now(), s.Name)
 	if len(fleet) == 0 || !o.fleetSettled(len(fleet)) {
@@ -145,7 +147,7 @@
 	for i := range fleet {
 		u := &fleet[i]
 		if u.Leaving {
-			// It does not come back: what it holds is a gap from now on.
+			// It does not return, so what it holds is a gap from now on.
 			delete(o.lastListed, u.Address)
 			continue
 		}
@@ -167,9 +169,9 @@
 	}
 }
 
-// addRecentlyListed adds members that were listed a moment ago, and notes since when the
-// empty ones are. One that crashed is listed again within seconds, empty and
-// maybe under another name, at the same address.
+// addRecentlyListed adds members that were listed a moment ago, and sets how long the empty ones
+// have been empty. An upstream that crashed is listed again within seconds, empty and possibly
+// under another ID, at the same address.
 func (o *Orderer) addRecentlyListed(members []placer.Member, addresses map[string]string) []placer.Member {
 	now := o.Now()
 	listed := make(map[string]bool, len(members))
@@ -206,11 +208,12 @@
 type listedMember struct {
 	member placer.Member
 	seenAt time.Duration
-	// emptySince is since when it holds nothing; 0 while it holds layers.
+	// emptySince is when it was first listed without layers; 0 while it holds layers.
 	emptySince time.Duration
 }
 
-// fleetSettled reports whether the fleet was seen whole once.
+// fleetSettled reports whether the fleet has ever stopped growing for settleTime, so that it was
+// seen whole. size is its current number of members.
 func (o *Orderer) fleetSettled(size int) bool {
 	if size > o.fleetSize {
 		o.fleetSize = size
@@ -220,20 +223,21 @@
 	return o.settled
 }
 
-// forgetOrders drops what is known of orders: another host gives them now.
+// forgetOrders drops all state about orders, since another host may give them now.
 func (o *Orderer) forgetOrders() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	clear(o.pending)
-	clear(o.orderCounts)
+	clear(o.pendingOrder)
+	clear(o.orderCount)
 }
 
+// modelOf returns the parameters of a model for its placement.
 func modelOf(e *matcher.Engine) placer.Model {
 	return placer.Model{
 		Layers:  e.Layers,
 		LayerMB: e.LayerMB,
 		TokenMB: e.TokenBytes / float64(e.Layers) / 1e6,
-		// Over its life a request holds its prompt and half of its answer.
+		// On average over its lifetime a request holds its prompt and half of its answer.
 		Tokens:  e.Prompt + e.Answer/2,
 		Step:    e.StepMs,
 		Request: e.PerSequenceMs + e.PerContextMs*(e.Prompt+e.Answer/2)/1e3,
@@ -241,45 +245,47 @@
 	}
 }
 
-// memberOf is an upstream as the layout sees it. While an order is under way it is
-// taken to hold what it was ordered: it takes nothing new for its old layers.
+// memberOf returns an upstream as placer sees it. While an order to it is pending, it counts as
+// holding the ordered span: it takes no new requests for its old layers.
 func (o *Orderer) memberOf(e *matcher.Engine, u *balancer.Member) placer.Member {
 	card := balancer.CardOf(e, u.Card)
 	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Holds), Missing: u.Out, Streams: u.Streams}
 	if o.orderPending(u) {
 		m.Pending = true
 		o.mu.Lock()
-		m.Held = o.pending[u.ID].span
+		m.Held = o.pendingOrder[u.ID].span
 		o.mu.Unlock()
 	}
 	return m
 }
 
-// orderPending reports whether an order to u is under way.
+// orderPending reports whether an order to u is pending. It drops an order that has been carried
+// out, has timed out or went to another incarnation.
 func (o *Orderer) orderPending(u *balancer.Member) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	p, ok := o.pending[u.ID]
+	p, ok := o.pendingOrder[u.ID]
 	if !ok {
 		return false
 	}
 	done := p.span.Len() > 0 && placer.Span(u.Holds) == p.span && !p.failed
 	if done || p.startedAt != u.Born || o.Now() > p.until {
-		delete(o.pending, u.ID)
+		delete(o.pendingOrder, u.ID)
 		return false
 	}
 	return true
 }
 
+// addPending records an order that is about to be sent.
 func (o *Orderer) addPending(e *matcher.Engine, u *balancer.Member, span placer.Span) {
 	loadTime := time.Duration(float64(e.LoadTime) * float64(span.Len()) / float64(e.Layers))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pending[u.ID] = pendingOrder{span: span, startedAt: u.Born, until: o.Now() + loadTime + pendingTimeout}
+	o.pendingOrder[u.ID] = pendingOrder{span: span, startedAt: u.Born, until: o.Now() + loadTime + pendingTimeout}
 }
 
-// sendOrder gives one order. Where the count of orders is not known, or was wrong,
-// the upstream is asked for it.
+// sendOrder sends one order. If the upstream refuses it, because its order count was unknown or
+// wrong, the count is fetched and the order sent once more.
 func (o *Orderer) sendOrder(ctx context.Context, u *balancer.Member, span placer.Span) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -290,17 +296,18 @@
 	}
 	if err != nil {
 		o.mu.Lock()
-		delete(o.orderCounts, u.ID)
-		o.pending[u.ID] = pendingOrder{span: placer.Span(u.Holds), startedAt: u.Born, until: o.Now() + retryDelay, failed: true}
+		delete(o.orderCount, u.ID)
+		o.pendingOrder[u.ID] = pendingOrder{span: placer.Span(u.Holds), startedAt: u.Born, until: o.Now() + retryDelay, failed: true}
 		o.mu.Unlock()
 	}
 	o.Log.Info().Err(err).Str("upstream", u.ID).Str("address", u.Address).Int("from", span.From).Int("to", span.To).
 		Msg("orderer: order given")
 }
 
+// tryOrder sends an order once. It returns ErrRefused if this host no longer holds the duty.
 func (o *Orderer) tryOrder(ctx context.Context, u *balancer.Member, span placer.Span) error {
-	// A host was suspended past its lease and gave orders beside its successor;
-	// the lease is looked at right before the order is sent.
+	// A host that was suspended past its lease gave orders beside its successor, so the lease
+	// is checked right before the order is sent.
 	if !o.Holds(u.DataCentre) {
 		return ErrRefused
 	}
@@ -308,30 +315,31 @@
 	err := o.Engines.Place(ctx, u.Address, balancer.Span(span), n)
 	if err == nil {
 		o.mu.Lock()
-		o.orderCounts[u.ID] = orderCount{orders: n + 1, startedAt: u.Born}
+		o.orderCount[u.ID] = orderCount{orders: n + 1, startedAt: u.Born}
 		o.mu.Unlock()
 	}
 	return err
 }
 
-// expectedCount is how many orders an upstream has taken: none since its start, unless
-// this host knows better.
+// expectedCount returns the number of orders that an upstream should have taken: the last known
+// number, or 0 if none is known since its start.
 func (o *Orderer) expectedCount(u *balancer.Member) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if t := o.orderCounts[u.ID]; t.startedAt == u.Born {
+	if t := o.orderCount[u.ID]; t.startedAt == u.Born {
 		return t.orders
 	}
 	return 0
 }
 
+// fetchCount asks an upstream for the number of orders that it has taken.
 func (o *Orderer) fetchCount(ctx context.Context, u *balancer.Member) {
 	n, err := o.Engines.Taken(ctx, u.Address)
 	if err != nil {
-		o.Log.Debug().Err(err).Str("upstream", u.ID).Msg("orderer: count of orders not learnt")
+		o.Log.Debug().Err(err).Str("upstream", u.ID).Msg("orderer: reading the order count failed")
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.orderCounts[u.ID] = orderCount{orders: n, startedAt: u.Born}
+	o.orderCount[u.ID] = orderCount{orders: n, startedAt: u.Born}
 }
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -19,15 +19,15 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// fakeEngines carries orders out after a while and lists what it holds.
+// fakeEngines carries out orders and lists the result after drainTime.
 type fakeEngines struct {
 	mu          sync.Mutex
 	b           *balancer.Balancer
 	orderCounts map[string]int64
 	orders      int
-	// refusals is how many orders of each engine are turned away.
+	// refusals is how many more orders to each address are refused.
 	refusals map[string]int
-	// drainTime is how long an engine takes to hold what it was ordered.
+	// drainTime is the time until an engine holds what it was ordered to hold.
 	drainTime time.Duration
 	upstreams map[string]balancer.Upstream
 }
@@ -57,7 +57,7 @@
 	return e.orderCounts[address], nil
 }
 
-// runOrderer has an orderer look after twelve engines in virtual time.
+// runOrderer runs an orderer for twelve engines in virtual time.
 func runOrderer(t *testing.T, f func(e *fakeEngines, holds *atomic.Bool)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
@@ -95,7 +95,7 @@
 	})
 }
 
-// assertCovered checks that every layer is held by an engine that is listed.
+// assertCovered checks that every layer is held by a listed engine.
 func (e *fakeEngines) assertCovered(t *testing.T) {
 	t.Helper()
 	held := make([]bool, 40)
@@ -106,7 +106,7 @@
 	}
 	for l, ok := range held {
 		if !ok {
-			t.Fatalf("nobody holds layer %d", l)
+			t.Fatalf("no listed engine holds layer %d", l)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	})
 }
 
-// TestNotHolder. A host that does not hold the duty gives no order.
+// TestNoOrdersWithoutDuty checks that a host without the duty gives no orders.
 func TestNoOrdersWithoutDuty(t *testing.T) {
 	runOrderer(t, func(e *fakeEngines, holds *atomic.Bool) {
 		holds.Store(false)
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestCountWrong. A new holder does not know how many orders an engine has
-// taken. Its order is refused, and it asks before the next.
+// TestUnknownOrderCount guards against a new holder of the duty whose orders are refused for
+// good, because it does not know how many orders an engine has taken.
 func TestUnknownOrderCount(t *testing.T) {
 	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		e.mu.Lock()
@@ -151,8 +151,8 @@
 	})
 }
 
-// TestLeaves. An engine reports that it leaves, and an empty one comes. Its
-// layers are ordered from the new one at once.
+// TestLeavingEngineReplaced guards against layers of a leaving engine that a new, empty engine
+// is not ordered to take at once.
 func TestLeavingEngineReplaced(t *testing.T) {
 	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		time.Sleep(10 * time.Second)
@@ -169,8 +169,8 @@
 	})
 }
 
-// TestNoMovesAfterPartition guards against engines moved for layers whose holders are on their way
-// back after a cut.
+// TestNoMovesAfterPartition guards against engines moved for layers whose holders are about to
+// return after a network partition.
 func TestNoMovesAfterPartition(t *testing.T) {
 	runOrderer(t, func(e *fakeEngines, holds *atomic.Bool) {
 		is := is.New(t)
@@ -198,8 +198,8 @@
 	})
 }
 
-// TestSlowDrain. An engine that was ordered to take a lost range drains for long
-// before it does. No second one may be sent there and leave its own.
+// TestNoSecondOrderWhileDraining guards against a second engine that gives up its layers for a
+// lost span while the engine ordered to take it first drains for long.
 func TestNoSecondOrderWhileDraining(t *testing.T) {
 	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		is := is.New(t)
