--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// ttl is how long a lost host is still listed and keeps its duty. Half of
+	// leaseTTL is how long a lost host is still listed and keeps its duty. Half of
 	// it is a lost heartbeat and the next one; shorter ones end in every pause.
-	ttl = 3 * time.Second
-	// period is the time between two heartbeats: three fit into ttl.
-	period = 800 * time.Millisecond
+	leaseTTL = 3 * time.Second
+	// heartbeatPeriod is the time between two heartbeats: three fit into ttl.
+	heartbeatPeriod = 800 * time.Millisecond
 )
 
 // Entry is what others read of a host.
@@ -65,11 +65,11 @@
 
 	mu    sync.Mutex
 	lease int64
-	// era is the one in which the lease was granted.
-	era int64
-	// until is when the lease lapses at the earliest: counted from before the
+	// leaseEra is the one in which the lease was granted.
+	leaseEra int64
+	// expiresAt is when the lease lapses at the earliest: counted from before the
 	// call that prolonged it.
-	until time.Duration
+	expiresAt time.Duration
 	// duties are the data centres for which this host gives orders.
 	duties map[string]bool
 }
@@ -78,11 +78,11 @@
 func (r *Registrar) Holding(dataCentre string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.duties[dataCentre] && r.valid()
+	return r.duties[dataCentre] && r.leaseValid()
 }
 
-// valid reports whether the lease surely runs. r.mu is held.
-func (r *Registrar) valid() bool { return r.Now() < r.until && r.era == r.currentEra() }
+// leaseValid reports whether the lease surely runs. r.mu is held.
+func (r *Registrar) leaseValid() bool { return r.Now() < r.expiresAt && r.leaseEra == r.currentEra() }
 
 func (r *Registrar) currentEra() int64 {
 	if r.Era == nil {
@@ -95,24 +95,24 @@
 func (r *Registrar) HoldingAny() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.duties) > 0 && r.valid()
+	return len(r.duties) > 0 && r.leaseValid()
 }
 
 // Run keeps the entry alive until ctx ends, then removes it.
 func (r *Registrar) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := r.beat(ctx); err != nil && ctx.Err() == nil {
+		if err := r.heartbeat(ctx); err != nil && ctx.Err() == nil {
 			r.Log.Debug().Err(err).Msg("registrar: heartbeat failed")
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(period):
+		case <-time.After(heartbeatPeriod):
 		}
 	}
-	r.leave(context.WithoutCancel(ctx))
+	r.deregister(context.WithoutCancel(ctx))
 }
 
-func (r *Registrar) leave(ctx context.Context) {
+func (r *Registrar) deregister(ctx context.Context) {
 	r.mu.Lock()
 	lease := r.lease
 	r.duties = nil
@@ -120,50 +120,50 @@
 	if lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, period)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatPeriod)
 	defer cancel()
 	if err := r.Store.Revoke(ctx, lease); err != nil {
 		r.Log.Debug().Err(err).Msg("registrar: lease left to lapse")
 	}
 }
 
-// beat prolongs the lease, or makes one and writes the entry under it.
-func (r *Registrar) beat(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, period)
+// heartbeat prolongs the lease, or makes one and writes the entry under it.
+func (r *Registrar) heartbeat(ctx context.Context) error {
+	call, cancel := context.WithTimeout(ctx, heartbeatPeriod)
 	defer cancel()
 	start := r.Now()
 	r.mu.Lock()
-	lease, era := r.lease, r.era
+	lease, leaseEra := r.lease, r.leaseEra
 	r.mu.Unlock()
-	if lease != 0 && era != r.currentEra() {
-		r.lapsed()
+	if lease != 0 && leaseEra != r.currentEra() {
+		r.dropLease()
 		lease = 0
 	}
 	if lease != 0 {
 		err := r.Store.KeepAlive(call, lease)
-		if err == nil && era != r.currentEra() {
-			r.lapsed()
+		if err == nil && leaseEra != r.currentEra() {
+			r.dropLease()
 			return r.register(call)
 		}
 		if err == nil {
-			r.prolong(start)
-			return r.claim(call, lease)
+			r.extendLease(start)
+			return r.claimDuties(call, lease)
 		}
 		if !errors.Is(err, storer.ErrLease) {
 			return err
 		}
-		r.lapsed()
+		r.dropLease()
 	}
 	return r.register(call)
 }
 
-func (r *Registrar) prolong(start time.Duration) {
+func (r *Registrar) extendLease(start time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.until = start + ttl
+	r.expiresAt = start + leaseTTL
 }
 
-func (r *Registrar) lapsed() {
+func (r *Registrar) dropLease() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.duties) > 0 {
@@ -174,28 +174,28 @@
 
 func (r *Registrar) register(ctx context.Context) error {
 	start := r.Now()
-	lease, err := r.Store.Grant(ctx, ttl)
+	lease, err := r.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
-	era := r.currentEra()
+	leaseEra := r.currentEra()
 	value, err := json.Marshal(r.Entry)
 	if err != nil {
 		return fmt.Errorf("encoding host entry: %w", err)
 	}
-	if err := r.write(ctx, HostPrefix+r.Entry.Name, value, lease); err != nil {
+	if err := r.writeEntry(ctx, HostPrefix+r.Entry.Name, value, lease); err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.lease, r.era = lease, era
-	r.until = start + ttl
+	r.lease, r.leaseEra = lease, leaseEra
+	r.expiresAt = start + leaseTTL
 	r.mu.Unlock()
 	r.Log.Info().Int64("lease", lease).Msg("registrar: registered")
-	return r.claim(ctx, lease)
+	return r.claimDuties(ctx, lease)
 }
 
-// write puts the entry in place of one that an earlier start left.
-func (r *Registrar) write(ctx context.Context, key string, value []byte, lease int64) error {
+// writeEntry puts the entry in place of one that an earlier start left.
+func (r *Registrar) writeEntry(ctx context.Context, key string, value []byte, lease int64) error {
 	old, err := r.Store.Get(ctx, key)
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
 		return err
@@ -204,13 +204,13 @@
 	return err
 }
 
-// claim takes the duties that nobody has, and those of this host's last start.
-func (r *Registrar) claim(ctx context.Context, lease int64) error {
+// claimDuties takes the duties that nobody has, and those of this host's last start.
+func (r *Registrar) claimDuties(ctx context.Context, lease int64) error {
 	for _, dc := range r.Free() {
 		w := storer.Write{Key: DutyPrefix + dc, Value: []byte(r.Entry.Name), Lease: lease}
 		_, err := r.Store.Swap(ctx, w)
 		if errors.Is(err, storer.ErrConflict) {
-			err = r.reclaim(ctx, w)
+			err = r.takeOverDuty(ctx, w)
 		}
 		if errors.Is(err, storer.ErrConflict) {
 			continue
@@ -229,9 +229,9 @@
 	return nil
 }
 
-// reclaim takes a duty over from an earlier start of this host, whose lease runs on
+// takeOverDuty takes a duty over from an earlier start of this host, whose lease runs on
 // though its process is gone.
-func (r *Registrar) reclaim(ctx context.Context, w storer.Write) error {
+func (r *Registrar) takeOverDuty(ctx context.Context, w storer.Write) error {
 	old, err := r.Store.Get(ctx, w.Key)
 	if errors.Is(err, storer.ErrNotFound) || (err == nil && string(old.Value) != r.Entry.Name) {
 		return storer.ErrConflict
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -16,26 +16,26 @@
 	"github.com/sardineward/sardineward/storer"
 )
 
-// host is one that runs, with a clock that a test can move on.
-type host struct {
+// testHost is one that runs, with a clock that a test can move on.
+type testHost struct {
 	*registrar.Registrar
 	cancel context.CancelFunc
 	done   chan struct{}
-	// asleep is how long it was suspended so far.
-	asleep atomic.Int64
+	// suspended is how long it was suspended so far.
+	suspended atomic.Int64
 }
 
-func start(store storer.Store, name string, free func() []string) *host {
-	return startIn(store, name, free, nil)
+func start(store storer.Store, name string, free func() []string) *testHost {
+	return startWithEra(store, name, free, nil)
 }
 
-// startIn is start with the era of the store.
-func startIn(store storer.Store, name string, free func() []string, era func() int64) *host {
-	began := time.Now()
-	h := &host{done: make(chan struct{})}
+// startWithEra is start with the era of the store.
+func startWithEra(store storer.Store, name string, free func() []string, era func() int64) *testHost {
+	started := time.Now()
+	h := &testHost{done: make(chan struct{})}
 	h.Registrar = &registrar.Registrar{
 		Store: store, Entry: registrar.Entry{Name: name, Address: name + ":1", DataCentre: "a"},
-		Now: func() time.Duration { return time.Since(began) + time.Duration(h.asleep.Load()) }, Free: free, Era: era, Log: zerolog.Nop(),
+		Now: func() time.Duration { return time.Since(started) + time.Duration(h.suspended.Load()) }, Free: free, Era: era, Log: zerolog.Nop(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
@@ -46,7 +46,7 @@
 	return h
 }
 
-func (h *host) stop() {
+func (h *testHost) stop() {
 	h.cancel()
 	<-h.done
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestDuty(t *testing.T) {
+func TestDutyHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := new(faker.Platform)
@@ -109,23 +109,23 @@
 	})
 }
 
-// TestSuspended guards against a suspended host that still believes to hold its duty.
-func TestSuspended(t *testing.T) {
+// TestSuspendedHolder guards against a suspended host that still believes to hold its duty.
+func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := new(faker.Platform)
 		h := start(store, "one", freeDuty(store))
 		time.Sleep(2 * time.Second)
 		is.True(h.Holding("a"))
-		h.asleep.Store(int64(5 * time.Second))
+		h.suspended.Store(int64(5 * time.Second))
 		is.True(!h.Holding("a"))
 		is.True(!h.HoldingAny())
 		h.stop()
 	})
 }
 
-// TestStoreAway guards against a duty that outlives its lease, or is never taken again.
-func TestStoreAway(t *testing.T) {
+// TestStoreUnavailable guards against a duty that outlives its lease, or is never taken again.
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := new(faker.Platform)
--- a/registrar/restore_test.go
+++ b/registrar/restore_test.go
@@ -18,7 +18,7 @@
 		is := is.New(t)
 		store := new(faker.Platform)
 		var era atomic.Int64
-		a := startIn(store, "a", freeDuty(store), era.Load)
+		a := startWithEra(store, "a", freeDuty(store), era.Load)
 		defer a.stop()
 		time.Sleep(2 * time.Second)
 		is.True(a.Holding("a"))
