--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -82,12 +82,12 @@
 	lastListed map[string]listedMember
 
 	mu sync.Mutex
-	// pendingOrder and orderCounts are keyed by the ID of the upstream.
+	// pendingOrder and orderCount are keyed by the ID of the upstream.
 	pendingOrder map[string]pendingOrder
 	orderCount   map[string]orderCount
 }
 
-// orderCount is the number of orders that an upstream has taken since its start, given in
+// orderCount is the number of orders that an upstream has taken since startedAt, its start in
 // Unix milliseconds.
 type orderCount struct {
 	orders, startedAt int64
@@ -98,7 +98,8 @@
 	span placer.Span
 	// startedAt tells the incarnation of the upstream that got the order.
 	startedAt int64
-	until     time.Duration
+	// until is when the order no longer counts as pending, by Orderer.Now.
+	until time.Duration
 	// failed is set if the order was refused or not answered.
 	failed bool
 }
