--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,6 +1,6 @@
-// Package registrar makes an entry host known to the others by an entry in the
-// platform's store that lapses with the host, and takes duties that one host
-// holds at a time.
+// Package registrar announces an entry host to the others by an entry in the platform's store,
+// which lapses with the host's lease. Under the same lease it takes duties: the duty for a data
+// centre is the right to give orders to its engines, which one host holds at a time.
 package registrar
 
 import (
@@ -17,71 +17,73 @@
 )
 
 const (
-	// leaseTTL is how long a lost host is still listed and keeps its duty. Half of
-	// it is a lost heartbeat and the next one; shorter ones end in every pause.
+	// leaseTTL is how long a lost host is still listed and keeps its duties. A lost heartbeat
+	// and the next one take half of it; a shorter lease would expire in every pause of a process.
 	leaseTTL = 3 * time.Second
-	// heartbeatPeriod is the time between two heartbeats: three fit into ttl.
+	// heartbeatPeriod is the time between two heartbeats, and the timeout of each; three fit
+	// into leaseTTL.
 	heartbeatPeriod = 800 * time.Millisecond
 )
 
-// Entry is what others read of a host.
+// Entry describes a host to the others.
 type Entry struct {
 	Name       string `json:"name"`
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
 }
 
-// Check reports what is wrong in an entry.
+// Check returns an error if a field of the entry is empty.
 func (e *Entry) Check() error {
 	if e.Name == "" || e.Address == "" || e.DataCentre == "" {
-		return fmt.Errorf("registrar: entry of host %q lacks a field", e.Name)
+		return fmt.Errorf("registrar: entry of host %q lacks its name, address or data centre", e.Name)
 	}
 	return nil
 }
 
-// Prefixes of the keys.
+// Prefixes of keys in the store.
 const (
 	// HostPrefix is followed by a host's name.
 	HostPrefix = "sardineward/hosts/"
-	// DutyPrefix is followed by a data centre; the value is the name of the host
-	// that gives orders to its engines.
+	// DutyPrefix is followed by a data centre. The value is the name of the host that holds
+	// the duty for it.
 	DutyPrefix = "sardineward/orders/"
 )
 
-// Registrar is safe for concurrent use. The fields are set before Run.
+// Registrar registers one host. It is safe for concurrent use; the exported fields are set
+// before Run.
 type Registrar struct {
 	Store storer.Store
 	Entry Entry
-	// Now is a clock that goes on while the machine is suspended: a lease runs
-	// on while its holder does not.
+	// Now is a clock that also advances while the machine is suspended, as a lease expires
+	// even if its holder does not run.
 	Now func() time.Duration
-	// Free lists the data centres whose duty this host is to take: nobody is
-	// known to hold it.
+	// Free lists the data centres whose duty this host should take, as no host is known to
+	// hold it.
 	Free func() []string
-	// Era counts how often the store came back from a copy; nil is never. Leases and
-	// duties of an era that is over are void, whatever the store still holds of them.
+	// Era counts how often the store was restored from a copy; nil means never. Leases and
+	// duties from an earlier era are void, even if the store still has them.
 	Era func() int64
 	Log zerolog.Logger
 
 	mu    sync.Mutex
 	lease int64
-	// leaseEra is the one in which the lease was granted.
+	// leaseEra is the era in which the lease was granted.
 	leaseEra int64
-	// expiresAt is when the lease lapses at the earliest: counted from before the
-	// call that prolonged it.
+	// expiresAt is the earliest time at which the lease may expire. It counts from before
+	// the call that extended the lease.
 	expiresAt time.Duration
-	// duties are the data centres for which this host gives orders.
+	// duties holds the data centres whose duty this host has taken.
 	duties map[string]bool
 }
 
-// Holding reports whether this host surely holds the duty for a data centre.
+// Holding reports whether this host holds the duty for a data centre; in case of doubt it does not.
 func (r *Registrar) Holding(dataCentre string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duties[dataCentre] && r.leaseValid()
 }
 
-// leaseValid reports whether the lease surely runs. r.mu is held.
+// leaseValid reports whether the lease has certainly not expired. r.mu must be held.
 func (r *Registrar) leaseValid() bool { return r.Now() < r.expiresAt && r.leaseEra == r.currentEra() }
 
 func (r *Registrar) currentEra() int64 {
@@ -91,14 +93,14 @@
 	return r.Era()
 }
 
-// HoldingAny reports whether this host surely holds any duty.
+// HoldingAny reports whether this host holds any duty; in case of doubt it does not.
 func (r *Registrar) HoldingAny() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.duties) > 0 && r.leaseValid()
 }
 
-// Run keeps the entry alive until ctx ends, then removes it.
+// Run keeps the entry alive until ctx ends, and then removes it.
 func (r *Registrar) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := r.heartbeat(ctx); err != nil && ctx.Err() == nil {
@@ -112,6 +114,7 @@
 	r.deregister(context.WithoutCancel(ctx))
 }
 
+// deregister gives up all duties and revokes the lease, which removes the entry.
 func (r *Registrar) deregister(ctx context.Context) {
 	r.mu.Lock()
 	lease := r.lease
@@ -123,11 +126,11 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatPeriod)
 	defer cancel()
 	if err := r.Store.Revoke(ctx, lease); err != nil {
-		r.Log.Debug().Err(err).Msg("registrar: lease left to lapse")
+		r.Log.Debug().Err(err).Msg("registrar: lease not revoked, it will expire")
 	}
 }
 
-// heartbeat prolongs the lease, or makes one and writes the entry under it.
+// heartbeat extends the lease and claims free duties. Without a valid lease it registers the host.
 func (r *Registrar) heartbeat(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, heartbeatPeriod)
 	defer cancel()
@@ -157,12 +160,14 @@
 	return r.register(call)
 }
 
+// extendLease records that the lease was extended by a call made at start.
 func (r *Registrar) extendLease(start time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expiresAt = start + leaseTTL
 }
 
+// dropLease discards a lease that has expired or is void, and the duties held under it.
 func (r *Registrar) dropLease() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,6 +177,7 @@
 	r.lease, r.duties = 0, nil
 }
 
+// register obtains a lease, writes the entry under it and claims free duties.
 func (r *Registrar) register(ctx context.Context) error {
 	start := r.Now()
 	lease, err := r.Store.Grant(ctx, leaseTTL)
@@ -194,7 +200,7 @@
 	return r.claimDuties(ctx, lease)
 }
 
-// writeEntry puts the entry in place of one that an earlier start left.
+// writeEntry writes the entry, and replaces one that an earlier run of this host left.
 func (r *Registrar) writeEntry(ctx context.Context, key string, value []byte, lease int64) error {
 	old, err := r.Store.Get(ctx, key)
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
@@ -204,7 +210,7 @@
 	return err
 }
 
-// claimDuties takes the duties that nobody has, and those of this host's last start.
+// claimDuties takes the free duties that no host holds, or that an earlier run of this host holds.
 func (r *Registrar) claimDuties(ctx context.Context, lease int64) error {
 	for _, dc := range r.Free() {
 		w := storer.Write{Key: DutyPrefix + dc, Value: []byte(r.Entry.Name), Lease: lease}
@@ -229,8 +235,8 @@
 	return nil
 }
 
-// takeOverDuty takes a duty over from an earlier start of this host, whose lease runs on
-// though its process is gone.
+// takeOverDuty takes a duty over from an earlier run of this host, whose lease is still valid
+// though its process is gone. It returns storer.ErrConflict if another host holds the duty.
 func (r *Registrar) takeOverDuty(ctx context.Context, w storer.Write) error {
 	old, err := r.Store.Get(ctx, w.Key)
 	if errors.Is(err, storer.ErrNotFound) || (err == nil && string(old.Value) != r.Entry.Name) {
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -16,20 +16,21 @@
 	"github.com/sardineward/sardineward/storer"
 )
 
-// testHost is one that runs, with a clock that a test can move on.
+// testHost is a running registrar with a clock that a test can advance.
 type testHost struct {
 	*registrar.Registrar
 	cancel context.CancelFunc
 	done   chan struct{}
-	// suspended is how long it was suspended so far.
+	// suspended is how long the host has been suspended in total, in nanoseconds.
 	suspended atomic.Int64
 }
 
+// start runs a registrar on a store that is never restored from a copy.
 func start(store storer.Store, name string, free func() []string) *testHost {
 	return startWithEra(store, name, free, nil)
 }
 
-// startWithEra is start with the era of the store.
+// startWithEra runs a registrar on a store with the given era.
 func startWithEra(store storer.Store, name string, free func() []string, era func() int64) *testHost {
 	started := time.Now()
 	h := &testHost{done: make(chan struct{})}
@@ -51,7 +52,7 @@
 	<-h.done
 }
 
-// freeDuty lists a data centre while the store has no holder for it.
+// freeDuty lists data centre "a" while the store has no holder of its duty.
 func freeDuty(store storer.Store) func() []string {
 	return func() []string {
 		if _, err := store.Get(context.Background(), registrar.DutyPrefix+"a"); errors.Is(err, storer.ErrNotFound) {
@@ -83,8 +84,8 @@
 	})
 }
 
-// TestKilledHolder guards against seconds without anybody who gives orders after a
-// host that did was killed and started again.
+// TestKilledHolder guards against seconds in which no host gives orders, after the holder of the
+// duty was killed and started again.
 func TestKilledHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -109,7 +110,7 @@
 	})
 }
 
-// TestSuspendedHolder guards against a suspended host that still believes to hold its duty.
+// TestSuspendedHolder guards against a suspended host that still believes that it holds its duty.
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,7 +125,7 @@
 	})
 }
 
-// TestStoreUnavailable guards against a duty that outlives its lease, or is never taken again.
+// TestStoreUnavailable guards against a duty that outlives its lease, or that is never taken again.
 func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/registrar/restore_test.go
+++ b/registrar/restore_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardineward/sardineward/faker"
 )
 
-// TestStoreRestored guards against two holders of a duty: the store, back from a copy, may
-// hold the lease of one and the duty of another.
+// TestStoreRestored guards against two holders of a duty: a store restored from a copy may hold
+// the lease of one host and the duty of another.
 func TestStoreRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
