--- a/planner/client.go
+++ b/planner/client.go
@@ -30,8 +30,8 @@
 	return c.do(ctx, http.MethodPost, "http://"+address+"/v1/order", body, nil)
 }
 
-func (c *Client) do(ctx context.Context, method, url string, body []byte, into any) error {
-	const most = 1 << 20
+func (c *Client) do(ctx context.Context, method, url string, body []byte, result any) error {
+	const maxResponseBytes = 1 << 20
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("making order: %w", err)
@@ -46,8 +46,8 @@
 		return ErrFenced
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("engine answered status %d", resp.StatusCode)
-	case into == nil:
+	case result == nil:
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, most)).Decode(into)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(result)
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -51,7 +51,7 @@
 // ErrFenced means an engine refused an old fencing number.
 var ErrFenced = errors.New("planner: fencing number is old")
 
-var errHeld = errors.New("planner: another host holds the lease")
+var errLeaseHeld = errors.New("planner: another host holds the lease")
 
 // Planner gives orders for one data centre. The fields are set before Run.
 type Planner struct {
@@ -94,15 +94,15 @@
 // Holding reports whether this host gives the orders now.
 func (p *Planner) Holding() bool { return p.holding.Load() }
 
-// tenure is one holding of the lease.
-type tenure struct {
+// term is one holding of the lease.
+type term struct {
 	lease int64
 	fence int64
-	// until is when the lease lapses at the earliest, on the monotonic clock:
+	// expiresAt is when the lease lapses at the earliest, on the monotonic clock:
 	// counted from before the call that prolonged it.
-	until time.Time
-	// quiet is until when orders that aren't fenced must wait.
-	quiet time.Time
+	expiresAt time.Time
+	// unfencedAfter is until when orders that aren't fenced must wait.
+	unfencedAfter time.Time
 }
 
 // Run tries for the lease, and gives orders while it is held, until ctx ends.
@@ -112,7 +112,7 @@
 		if err == nil {
 			p.holding.Store(true)
 			p.Log.Info().Int64("fence", t.fence).Msg("planner: holding the lease")
-			p.hold(ctx, t)
+			p.holdLease(ctx, t)
 			p.holding.Store(false)
 		}
 		sleep(ctx, p.Lease/2)
@@ -124,12 +124,12 @@
 
 // acquire takes the lease, then the fencing number. An answer lost on the way
 // leaves a lease that lapses by itself.
-func (p *Planner) acquire(ctx context.Context) (*tenure, error) {
+func (p *Planner) acquire(ctx context.Context) (*term, error) {
 	if p.Candidate != nil && !p.Candidate() {
-		return nil, errHeld
+		return nil, errLeaseHeld
 	}
 	if _, err := p.Store.Get(ctx, p.leaseKey()); err == nil {
-		return nil, errHeld
+		return nil, errLeaseHeld
 	} else if !errors.Is(err, storer.ErrNotFound) {
 		return nil, err
 	}
@@ -142,23 +142,23 @@
 		p.revoke(ctx, lease)
 		return nil, err
 	}
-	fence, err := p.raiseFence(ctx)
+	fence, err := p.incrementFence(ctx)
 	if err != nil {
 		p.revoke(ctx, lease)
 		return nil, err
 	}
-	return &tenure{
-		lease: lease,
-		fence: fence,
-		until: start.Add(p.Lease),
+	return &term{
+		lease:     lease,
+		fence:     fence,
+		expiresAt: start.Add(p.Lease),
 		// The holder before was paused after its last look at its lease, and
 		// wakes to give one more order. It looks again within its pause; until
 		// then this host gives no order that the engine wouldn't refuse to it.
-		quiet: start.Add(p.Lease + p.Pause),
+		unfencedAfter: start.Add(p.Lease + p.Pause),
 	}, nil
 }
 
-func (p *Planner) raiseFence(ctx context.Context) (int64, error) {
+func (p *Planner) incrementFence(ctx context.Context) (int64, error) {
 	e, err := p.Store.Get(ctx, p.fenceKey())
 	var old int64
 	switch {
@@ -179,12 +179,12 @@
 	return next, err
 }
 
-// hold gives orders and keeps the lease alive until either fails.
-func (p *Planner) hold(ctx context.Context, t *tenure) {
+// holdLease gives orders and keeps the lease alive until either fails.
+func (p *Planner) holdLease(ctx context.Context, t *term) {
 	defer p.revoke(ctx, t.lease)
 	limiter := rate.NewLimiter(rate.Every(p.Lease/4), 1)
 	for limiter.Wait(ctx) == nil {
-		if !p.prolong(ctx, t) {
+		if !p.extendLease(ctx, t) {
 			p.Log.Warn().Int64("fence", t.fence).Msg("planner: lease lost")
 			return
 		}
@@ -204,54 +204,54 @@
 	}
 }
 
-func (p *Planner) prolong(ctx context.Context, t *tenure) bool {
+func (p *Planner) extendLease(ctx context.Context, t *term) bool {
 	start := time.Now()
 	err := p.Store.KeepAlive(ctx, t.lease)
 	if err == nil {
-		t.until = start.Add(p.Lease)
+		t.expiresAt = start.Add(p.Lease)
 		return true
 	}
-	return !errors.Is(err, storer.ErrLease) && t.holds()
+	return !errors.Is(err, storer.ErrLease) && t.leaseValid()
 }
 
-// holds reports whether the lease surely has not lapsed.
-func (t *tenure) holds() bool { return time.Now().Before(t.until) }
+// leaseValid reports whether the lease surely has not lapsed.
+func (t *term) leaseValid() bool { return time.Now().Before(t.expiresAt) }
 
 // reconcile orders each engine that holds something else than wanted.
-func (p *Planner) reconcile(ctx context.Context, t *tenure) error {
+func (p *Planner) reconcile(ctx context.Context, t *term) error {
 	for _, w := range p.Wanted() {
-		if !t.holds() {
+		if !t.leaseValid() {
 			return nil
 		}
-		if !w.ChecksFence && time.Now().Before(t.quiet) {
+		if !w.ChecksFence && time.Now().Before(t.unfencedAfter) {
 			continue
 		}
-		have, err := p.Engines.Loaded(ctx, w.Upstream.Address)
-		if err != nil || have == w.Target || !p.Serving(w.Upstream.Name) {
+		loaded, err := p.Engines.Loaded(ctx, w.Upstream.Address)
+		if err != nil || loaded == w.Target || !p.Serving(w.Upstream.Name) {
 			continue
 		}
-		if err := p.order(ctx, t, w); err != nil {
+		if err := p.sendOrder(ctx, t, w); err != nil {
 			return err
 		}
-		if !p.space(ctx, t, p.Spacing(w.Target)) {
+		if !p.waitSpacing(ctx, t, p.Spacing(w.Target)) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// order gives one order.
-func (p *Planner) order(ctx context.Context, t *tenure, w Wish) error {
+// sendOrder gives one order.
+func (p *Planner) sendOrder(ctx context.Context, t *term, w Wish) error {
 	// A host was paused (SIGSTOP, a long collection) past its lease and woke up
 	// believing it still led; two hosts loaded different versions into one
 	// engine. The clock is read right before the write, and the write is given
 	// no longer than what is left.
-	if !t.holds() {
+	if !t.leaseValid() {
 		return errors.New("lease lapsed before an order")
 	}
-	ctx, cancel := context.WithDeadline(ctx, t.until)
+	ctx, cancel := context.WithDeadline(ctx, t.expiresAt)
 	defer cancel()
-	p.Checker.Assert(t.holds(), checker.InvariantOrder, "", "order with fence %d after the lease", t.fence)
+	p.Checker.Assert(t.leaseValid(), checker.InvariantOrder, "", "order with fence %d after the lease", t.fence)
 	err := p.Engines.Order(ctx, w.Upstream.Address, Order{Fence: t.fence, Target: w.Target})
 	if errors.Is(err, ErrFenced) {
 		p.Fenced.Add(1)
@@ -266,12 +266,12 @@
 	return nil
 }
 
-// space waits between loads, keeping the lease alive.
-func (p *Planner) space(ctx context.Context, t *tenure, d time.Duration) bool {
+// waitSpacing waits between loads, keeping the lease alive.
+func (p *Planner) waitSpacing(ctx context.Context, t *term, d time.Duration) bool {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		sleep(ctx, min(time.Until(end), p.Lease/4))
-		if !p.prolong(ctx, t) {
+		if !p.extendLease(ctx, t) {
 			return false
 		}
 	}
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -16,44 +16,44 @@
 	"github.com/sardineward/sardineward/storer"
 )
 
-// gated is an engine's ordering side whose calls can be held back on the way,
+// fakeEngine is an engine's ordering side whose calls can be held back on the way,
 // as a paused host holds its own, and which keeps what came.
-type gated struct {
+type fakeEngine struct {
 	mu sync.Mutex
-	// checks tells whether it refuses old fencing numbers.
-	checks bool
-	loaded planner.Target
-	fence  int64
-	orders []planner.Order
-	// hold blocks orders of a host while set.
-	hold map[string]chan struct{}
+	// checksFence tells whether it refuses old fencing numbers.
+	checksFence bool
+	loaded      planner.Target
+	fence       int64
+	orders      []planner.Order
+	// blocked blocks orders of a host while set.
+	blocked map[string]chan struct{}
 }
 
-type door struct {
-	*gated
+type hostClient struct {
+	*fakeEngine
 	host string
 }
 
-func (d door) Loaded(context.Context, string) (planner.Target, error) {
+func (d hostClient) Loaded(context.Context, string) (planner.Target, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.loaded, nil
 }
 
 // Order ignores its deadline while held: what is paused can't keep time.
-func (d door) Order(ctx context.Context, _ string, o planner.Order) error {
+func (d hostClient) Order(ctx context.Context, _ string, o planner.Order) error {
 	d.mu.Lock()
-	hold := d.hold[d.host]
+	blocked := d.blocked[d.host]
 	d.mu.Unlock()
-	if hold != nil {
-		<-hold
+	if blocked != nil {
+		<-blocked
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.checks && o.Fence < d.fence {
+	if d.checksFence && o.Fence < d.fence {
 		return planner.ErrFenced
 	}
 	d.fence = max(d.fence, o.Fence)
@@ -62,15 +62,15 @@
 	return nil
 }
 
-func (g *gated) pause(host string) (wake func()) {
+func (g *fakeEngine) pause(host string) (wake func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ch := make(chan struct{})
-	g.hold[host] = ch
+	g.blocked[host] = ch
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.hold, host)
+		delete(g.blocked, host)
 		close(ch)
 	}
 }
@@ -80,12 +80,12 @@
 	pause = 10 * time.Second
 )
 
-// host is a planner that wants a version.
-func host(t *testing.T, name, version string, p storer.Store, g *gated) *planner.Planner {
+// newPlanner is a planner that wants a version.
+func newPlanner(t *testing.T, name, version string, p storer.Store, g *fakeEngine) *planner.Planner {
 	return &planner.Planner{
-		Store: p, Engines: door{g, name}, Host: name, DataCentre: "north", Lease: lease, Pause: pause,
+		Store: p, Engines: hostClient{g, name}, Host: name, DataCentre: "north", Lease: lease, Pause: pause,
 		Wanted: func() []planner.Wish {
-			return []planner.Wish{{Upstream: builder.Upstream{Name: "e", Address: "e"}, ChecksFence: g.checks, Target: planner.Target{Model: "m", Version: version}}}
+			return []planner.Wish{{Upstream: builder.Upstream{Name: "e", Address: "e"}, ChecksFence: g.checksFence, Target: planner.Target{Model: "m", Version: version}}}
 		},
 		Serving: func(string) bool { return true },
 		Spacing: func(planner.Target) time.Duration { return 0 },
@@ -93,36 +93,36 @@
 	}
 }
 
-// store lets one host's calls on the platform be held back.
-type store struct {
+// stallingStore lets one host's calls on the platform be held back.
+type stallingStore struct {
 	storer.Store
-	mu   sync.Mutex
-	held chan struct{}
+	mu      sync.Mutex
+	stalled chan struct{}
 }
 
-func (s *store) KeepAlive(ctx context.Context, id int64) error {
+func (s *stallingStore) KeepAlive(ctx context.Context, id int64) error {
 	s.mu.Lock()
-	held := s.held
+	stalled := s.stalled
 	s.mu.Unlock()
-	if held != nil {
-		<-held
+	if stalled != nil {
+		<-stalled
 	}
 	return s.Store.KeepAlive(ctx, id)
 }
 
 // TestPausedHolder guards against orders of a host that was paused past its lease.
 func TestPausedHolder(t *testing.T) {
-	for name, checks := range map[string]bool{"engine checks fence": true, "engine ignores fence": false} {
+	for name, checksFence := range map[string]bool{"engine checks fence": true, "engine ignores fence": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				platform := new(faker.Platform)
-				g := &gated{checks: checks, hold: make(map[string]chan struct{})}
+				g := &fakeEngine{checksFence: checksFence, blocked: make(map[string]chan struct{})}
 				ctx, cancel := context.WithCancel(context.Background())
 				var wg sync.WaitGroup
 				wake := g.pause("old")
-				wg.Go(func() { host(t, "old", "1", platform, g).Run(ctx) })
+				wg.Go(func() { newPlanner(t, "old", "1", platform, g).Run(ctx) })
 				time.Sleep(lease + pause + lease)
-				second := host(t, "new", "2", platform, g)
+				second := newPlanner(t, "new", "2", platform, g)
 				wg.Go(func() { second.Run(ctx) })
 				time.Sleep(3 * lease)
 				wake()
@@ -139,7 +139,7 @@
 	}
 }
 
-func assertFencesRise(t *testing.T, g *gated) {
+func assertFencesRise(t *testing.T, g *fakeEngine) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,25 +152,25 @@
 
 // TestLeaseLapsesBetween. The holder is paused before it looks at its lease, for
 // longer than the lease, while it has an order to give.
-func TestLeaseLapsesBetween(t *testing.T) {
+func TestPausedBeforeRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := new(faker.Platform)
-		g := &gated{hold: make(map[string]chan struct{})}
+		g := &fakeEngine{blocked: make(map[string]chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		paused := &store{Store: platform}
-		wg.Go(func() { host(t, "old", "1", paused, g).Run(ctx) })
+		paused := &stallingStore{Store: platform}
+		wg.Go(func() { newPlanner(t, "old", "1", paused, g).Run(ctx) })
 		time.Sleep(lease + pause + lease)
 		paused.mu.Lock()
-		paused.held = make(chan struct{})
+		paused.stalled = make(chan struct{})
 		paused.mu.Unlock()
-		wg.Go(func() { host(t, "new", "2", platform, g).Run(ctx) })
+		wg.Go(func() { newPlanner(t, "new", "2", platform, g).Run(ctx) })
 		time.Sleep(lease + pause + 2*lease)
 		is := is.New(t)
 		g.mu.Lock()
 		is.Equal(g.loaded.Version, "2")
 		g.mu.Unlock()
-		close(paused.held)
+		close(paused.stalled)
 		time.Sleep(lease)
 		g.mu.Lock()
 		is.Equal(g.loaded.Version, "2")
@@ -187,12 +187,12 @@
 func TestOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := new(faker.Platform)
-		g := &gated{checks: true, hold: make(map[string]chan struct{})}
+		g := &fakeEngine{checksFence: true, blocked: make(map[string]chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		var hosts []*planner.Planner
 		for _, n := range []string{"a", "b", "c"} {
-			p := host(t, n, n, platform, g)
+			p := newPlanner(t, n, n, platform, g)
 			hosts = append(hosts, p)
 			wg.Go(func() { p.Run(ctx) })
 		}
@@ -215,11 +215,11 @@
 	})
 }
 
-// TestFenced tells that an order refused for its number ends the tenure.
-func TestFenced(t *testing.T) {
+// TestFencedOrderEndsTerm tells that an order refused for its number ends the tenure.
+func TestFencedOrderEndsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{checks: true, fence: 100, hold: make(map[string]chan struct{})}
-		p := host(t, "a", "1", new(faker.Platform), g)
+		g := &fakeEngine{checksFence: true, fence: 100, blocked: make(map[string]chan struct{})}
+		p := newPlanner(t, "a", "1", new(faker.Platform), g)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*lease)
 		defer cancel()
 		p.Run(ctx)
