--- a/planner/client.go
+++ b/planner/client.go
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// Client gives orders over HTTP.
+// Client sends orders over HTTP.
 type Client struct {
 	HTTP *http.Client
 }
@@ -30,11 +30,12 @@
 	return c.do(ctx, http.MethodPost, "http://"+address+"/v1/order", body, nil)
 }
 
+// do sends a request and decodes the response into result, unless that is nil.
 func (c *Client) do(ctx context.Context, method, url string, body []byte, result any) error {
 	const maxResponseBytes = 1 << 20
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("making order: %w", err)
+		return fmt.Errorf("making request: %w", err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
@@ -45,7 +46,7 @@
 	case resp.StatusCode == http.StatusPreconditionFailed:
 		return ErrFenced
 	case resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("engine answered status %d", resp.StatusCode)
+		return fmt.Errorf("engine answered status %d, expected 200", resp.StatusCode)
 	case result == nil:
 		return nil
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,12 +1,11 @@
-// Package planner keeps engines at what the configuration wants of them: which
-// model, version and layers each holds.
+// Package planner keeps each engine at the model, version and layers that the configuration
+// wants it to hold.
 //
-// One host a data centre does so, the one that holds the data centre's lease.
-// It takes a fencing number, raised by compare-and-swap at each change of
-// holder, and sends it with every order. Engines that check it refuse an old
-// holder; for the others the holder checks its lease just before each order,
-// waits out the longest pause before its first, and goes on comparing what they
-// report with what is wanted, so that a stale order is undone.
+// In each data centre one host does so, the one that holds the data centre's lease. It takes a
+// fencing token, which is incremented by compare-and-swap at each change of holder, and sends it
+// with every order. Engines that check it refuse a former holder. For the others, the holder
+// checks its lease right before each order, waits out the longest pause before its first one,
+// and keeps comparing what they report with what is wanted, so that a stale order is undone.
 package planner
 
 import (
@@ -25,7 +24,8 @@
 	"github.com/sardineward/sardineward/storer"
 )
 
-// Target is what an engine is to hold, or holds.
+// Target is what an engine holds or should hold: the layers First to Last, both included, of a
+// version of a model.
 type Target struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -35,83 +35,84 @@
 
 // Order tells an engine to load a target.
 type Order struct {
-	// Fence is the fencing number of the holder.
+	// Fence is the fencing token of the holder.
 	Fence  int64  `json:"fence"`
 	Target Target `json:"target"`
 }
 
-// Orderer is the seam to engines.
+// Orderer sends orders to engines.
 type Orderer interface {
 	// Loaded returns what an engine holds.
 	Loaded(ctx context.Context, address string) (Target, error)
-	// Order returns ErrFenced when the engine has seen a higher number.
+	// Order returns ErrFenced if the engine has seen a higher fencing token.
 	Order(ctx context.Context, address string, o Order) error
 }
 
-// ErrFenced means an engine refused an old fencing number.
-var ErrFenced = errors.New("planner: fencing number is old")
+// ErrFenced means that an engine refused a stale fencing token.
+var ErrFenced = errors.New("planner: order refused: fencing token is stale")
 
 var errLeaseHeld = errors.New("planner: another host holds the lease")
 
-// Planner gives orders for one data centre. The fields are set before Run.
+// Planner gives orders for one data centre. The fields up to Log are set before Run.
 type Planner struct {
 	Store      storer.Store
 	Engines    Orderer
 	Host       string
 	DataCentre string
-	// Lease is the time to live of the lease, Pause the longest pause of a
-	// process that is guarded against.
+	// Lease is the time to live of the lease. Pause is the longest pause of a process that
+	// the planner guards against.
 	Lease, Pause time.Duration
-	// Candidate reports whether this host is among the few of its data centre
-	// that try for the lease; nil means yes. If all hosts tried, the calls on
-	// the platform would grow with the fleet.
+	// Candidate reports whether this host is among the few of its data centre that try for
+	// the lease; nil means it is. If all hosts tried, the calls to the platform would grow
+	// with the fleet.
 	Candidate func() bool
-	// Wanted returns the engines of this data centre and what each is to hold.
+	// Wanted returns the engines of this data centre and what each of them should hold.
 	Wanted func() []Wish
-	// Serving reports whether an engine may be taken out for loading now; it
-	// is called before an order to one that holds something else.
+	// Serving reports whether an engine may go out of service to load now. It is called
+	// before an order to an engine that does not hold its target.
 	Serving func(upstream string) bool
-	// Spacing returns the pause that the weight store's rate asks for after a
-	// load of that many layers of a model.
+	// Spacing returns how long to wait after a load of t, so that the loads stay within the
+	// rate of the weight store.
 	Spacing func(t Target) time.Duration
 	Checker *checker.Checker
 	Log     zerolog.Logger
-	// Orders counts orders given.
+	// Orders counts the orders given.
 	Orders atomic.Int64
-	// Fenced counts orders refused for their fencing number.
+	// Fenced counts the orders refused for a stale fencing token.
 	Fenced atomic.Int64
 
 	holding atomic.Bool
 }
 
-// Wish is an engine and what it is to hold.
+// Wish is an engine and its target. ChecksFence is set if the engine refuses stale fencing tokens.
 type Wish struct {
 	Upstream    builder.Upstream
 	Target      Target
 	ChecksFence bool
 }
 
-// Holding reports whether this host gives the orders now.
+// Holding reports whether this host holds the lease, and so gives the orders.
 func (p *Planner) Holding() bool { return p.holding.Load() }
 
-// term is one holding of the lease.
+// term is one period in which this host holds the lease.
 type term struct {
 	lease int64
 	fence int64
-	// expiresAt is when the lease lapses at the earliest, on the monotonic clock:
-	// counted from before the call that prolonged it.
+	// expiresAt is the earliest time at which the lease may expire, on the monotonic clock.
+	// It counts from before the call that extended the lease.
 	expiresAt time.Time
-	// unfencedAfter is until when orders that aren't fenced must wait.
+	// unfencedAfter is the time before which engines that do not check the fencing token get
+	// no orders.
 	unfencedAfter time.Time
 }
 
-// Run tries for the lease, and gives orders while it is held, until ctx ends.
+// Run tries to acquire the lease, and gives orders while it holds it, until ctx ends.
 func (p *Planner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, err := p.acquire(ctx)
 		if err == nil {
 			p.holding.Store(true)
-			p.Log.Info().Int64("fence", t.fence).Msg("planner: holding the lease")
+			p.Log.Info().Int64("fence", t.fence).Msg("planner: lease acquired")
 			p.holdLease(ctx, t)
 			p.holding.Store(false)
 		}
@@ -122,8 +123,8 @@
 func (p *Planner) leaseKey() string { return "orders/" + p.DataCentre + "/holder" }
 func (p *Planner) fenceKey() string { return "orders/" + p.DataCentre + "/fence" }
 
-// acquire takes the lease, then the fencing number. An answer lost on the way
-// leaves a lease that lapses by itself.
+// acquire acquires the lease, and then a fencing token. If the response to a call is lost, the
+// lease expires by itself.
 func (p *Planner) acquire(ctx context.Context) (*term, error) {
 	if p.Candidate != nil && !p.Candidate() {
 		return nil, errLeaseHeld
@@ -151,13 +152,14 @@
 		lease:     lease,
 		fence:     fence,
 		expiresAt: start.Add(p.Lease),
-		// The holder before was paused after its last look at its lease, and
-		// wakes to give one more order. It looks again within its pause; until
-		// then this host gives no order that the engine wouldn't refuse to it.
+		// The previous holder may have been paused right after it checked its lease, and then
+		// gives one more order when it resumes. It checks its lease again within Pause. Until
+		// then, engines that would not refuse its order get none from this host.
 		unfencedAfter: start.Add(p.Lease + p.Pause),
 	}, nil
 }
 
+// incrementFence increments the stored fencing token by compare-and-swap, and returns it.
 func (p *Planner) incrementFence(ctx context.Context) (int64, error) {
 	e, err := p.Store.Get(ctx, p.fenceKey())
 	var old int64
@@ -167,19 +169,19 @@
 		return 0, err
 	default:
 		if err := json.Unmarshal(e.Value, &old); err != nil {
-			return 0, fmt.Errorf("decoding fencing number: %w", err)
+			return 0, fmt.Errorf("decoding fencing token: %w", err)
 		}
 	}
 	next := old + 1
 	value, err := json.Marshal(next)
 	if err != nil {
-		return 0, fmt.Errorf("encoding fencing number: %w", err)
+		return 0, fmt.Errorf("encoding fencing token: %w", err)
 	}
 	_, err = p.Store.Swap(ctx, storer.Write{Key: p.fenceKey(), Value: value, Expect: e.Revision})
 	return next, err
 }
 
-// holdLease gives orders and keeps the lease alive until either fails.
+// holdLease extends the lease and gives orders until either fails.
 func (p *Planner) holdLease(ctx context.Context, t *term) {
 	defer p.revoke(ctx, t.lease)
 	limiter := rate.NewLimiter(rate.Every(p.Lease/4), 1)
@@ -189,21 +191,23 @@
 			return
 		}
 		if err := p.reconcile(ctx, t); err != nil {
-			p.Log.Warn().Err(err).Msg("planner: gave up holding")
+			p.Log.Warn().Err(err).Msg("planner: lease given up")
 			return
 		}
 	}
 }
 
-// revoke gives a lease back; one that can't be lapses by itself.
+// revoke revokes a lease. If that fails, the lease expires by itself.
 func (p *Planner) revoke(ctx context.Context, lease int64) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Lease)
 	defer cancel()
 	if err := p.Store.Revoke(ctx, lease); err != nil {
-		p.Log.Debug().Err(err).Msg("planner: lease left to lapse")
+		p.Log.Debug().Err(err).Msg("planner: lease not revoked, it will expire")
 	}
 }
 
+// extendLease extends the lease and reports whether it is still held. After an error that does
+// not say that the lease is gone, it counts as held until it may have expired.
 func (p *Planner) extendLease(ctx context.Context, t *term) bool {
 	start := time.Now()
 	err := p.Store.KeepAlive(ctx, t.lease)
@@ -214,10 +218,10 @@
 	return !errors.Is(err, storer.ErrLease) && t.leaseValid()
 }
 
-// leaseValid reports whether the lease surely has not lapsed.
+// leaseValid reports whether the lease has certainly not expired.
 func (t *term) leaseValid() bool { return time.Now().Before(t.expiresAt) }
 
-// reconcile orders each engine that holds something else than wanted.
+// reconcile gives an order to each engine that does not hold its target.
 func (p *Planner) reconcile(ctx context.Context, t *term) error {
 	for _, w := range p.Wanted() {
 		if !t.leaseValid() {
@@ -240,18 +244,18 @@
 	return nil
 }
 
-// sendOrder gives one order.
+// sendOrder gives one order. It returns an error only if this host no longer holds the lease.
 func (p *Planner) sendOrder(ctx context.Context, t *term, w Wish) error {
-	// A host was paused (SIGSTOP, a long collection) past its lease and woke up
-	// believing it still led; two hosts loaded different versions into one
-	// engine. The clock is read right before the write, and the write is given
-	// no longer than what is left.
+	// A host that was paused past its lease (SIGSTOP, a long garbage collection) resumed in the
+	// belief that it still held the lease, and two hosts loaded different versions into one
+	// engine. So the clock is read right before the call, and the call times out when the
+	// lease expires.
 	if !t.leaseValid() {
-		return errors.New("lease lapsed before an order")
+		return errors.New("lease expired before the order was sent")
 	}
 	ctx, cancel := context.WithDeadline(ctx, t.expiresAt)
 	defer cancel()
-	p.Checker.Assert(t.leaseValid(), checker.InvariantOrder, "", "order with fence %d after the lease", t.fence)
+	p.Checker.Assert(t.leaseValid(), checker.InvariantOrder, "", "order with fencing token %d after the lease expired", t.fence)
 	err := p.Engines.Order(ctx, w.Upstream.Address, Order{Fence: t.fence, Target: w.Target})
 	if errors.Is(err, ErrFenced) {
 		p.Fenced.Add(1)
@@ -266,7 +270,8 @@
 	return nil
 }
 
-// waitSpacing waits between loads, keeping the lease alive.
+// waitSpacing waits for d between loads and extends the lease meanwhile. It reports whether the
+// lease is still held and ctx has not ended.
 func (p *Planner) waitSpacing(ctx context.Context, t *term, d time.Duration) bool {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) && ctx.Err() == nil {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -16,19 +16,20 @@
 	"github.com/sardineward/sardineward/storer"
 )
 
-// fakeEngine is an engine's ordering side whose calls can be held back on the way,
-// as a paused host holds its own, and which keeps what came.
+// fakeEngine records the orders that it takes. Orders can be blocked on their way to it, as those
+// of a paused host are.
 type fakeEngine struct {
 	mu sync.Mutex
-	// checksFence tells whether it refuses old fencing numbers.
+	// checksFence is set if it refuses stale fencing tokens.
 	checksFence bool
 	loaded      planner.Target
 	fence       int64
 	orders      []planner.Order
-	// blocked blocks orders of a host while set.
+	// blocked has the paused hosts. Their orders wait until the channel is closed.
 	blocked map[string]chan struct{}
 }
 
+// hostClient sends the orders of one host to a fake engine.
 type hostClient struct {
 	*fakeEngine
 	host string
@@ -40,7 +41,7 @@
 	return d.loaded, nil
 }
 
-// Order ignores its deadline while held: what is paused can't keep time.
+// Order ignores its deadline while it is blocked, as a paused process cannot act on a timeout.
 func (d hostClient) Order(ctx context.Context, _ string, o planner.Order) error {
 	d.mu.Lock()
 	blocked := d.blocked[d.host]
@@ -62,6 +63,7 @@
 	return nil
 }
 
+// pause blocks the orders of a host until wake is called.
 func (g *fakeEngine) pause(host string) (wake func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,12 +77,13 @@
 	}
 }
 
+// lease and pause are the values of Lease and Pause of all planners.
 const (
 	lease = 5 * time.Second
 	pause = 10 * time.Second
 )
 
-// newPlanner is a planner that wants a version.
+// newPlanner returns the planner of a host that wants a version.
 func newPlanner(t *testing.T, name, version string, p storer.Store, g *fakeEngine) *planner.Planner {
 	return &planner.Planner{
 		Store: p, Engines: hostClient{g, name}, Host: name, DataCentre: "north", Lease: lease, Pause: pause,
@@ -93,7 +96,7 @@
 	}
 }
 
-// stallingStore lets one host's calls on the platform be held back.
+// stallingStore is a store on which the lease extensions of one host can be blocked.
 type stallingStore struct {
 	storer.Store
 	mu      sync.Mutex
@@ -110,7 +113,7 @@
 	return s.Store.KeepAlive(ctx, id)
 }
 
-// TestPausedHolder guards against orders of a host that was paused past its lease.
+// TestPausedHolder guards against orders from a host that was paused past its lease.
 func TestPausedHolder(t *testing.T) {
 	for name, checksFence := range map[string]bool{"engine checks fence": true, "engine ignores fence": false} {
 		t.Run(name, func(t *testing.T) {
@@ -139,6 +142,7 @@
 	}
 }
 
+// assertFencesRise checks that no order has a lower fencing token than the one before.
 func assertFencesRise(t *testing.T, g *fakeEngine) {
 	t.Helper()
 	g.mu.Lock()
@@ -150,8 +154,8 @@
 	}
 }
 
-// TestLeaseLapsesBetween. The holder is paused before it looks at its lease, for
-// longer than the lease, while it has an order to give.
+// TestPausedBeforeRenewal guards against orders from a holder that has an order to give and is
+// paused, before it extends its lease, for longer than the lease lasts.
 func TestPausedBeforeRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := new(faker.Platform)
@@ -181,9 +185,8 @@
 	})
 }
 
-// TestOneHolder. Three hosts try for the lease while the platform is out now and
-// then and loses answers. No two may give orders at the same time, and some host
-// does once the platform is back.
+// TestOneHolder guards against two hosts that give orders at the same time, or none once the
+// platform is back, when three hosts try for the lease and the platform fails or loses answers.
 func TestOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := new(faker.Platform)
@@ -215,7 +218,8 @@
 	})
 }
 
-// TestFencedOrderEndsTerm tells that an order refused for its number ends the tenure.
+// TestFencedOrderEndsTerm guards against a holder that keeps its lease after an engine has refused
+// an order for its fencing token.
 func TestFencedOrderEndsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &fakeEngine{checksFence: true, fence: 100, blocked: make(map[string]chan struct{})}
