--- a/placer/divisions.go
+++ b/placer/divisions.go
@@ -9,8 +9,8 @@
 	// concurrencyGrowth is the ratio between successive concurrencies (requests in progress at
 	// once) for which layouts are tried.
 	concurrencyGrowth = 1.12
-	// maxLayoutsBuilt bounds the redundant partitions that are laid out in full, and likewise
-	// the other ones.
+	// maxLayoutsBuilt bounds how many redundant partitions, and how many others, are laid out
+	// in full.
 	maxLayoutsBuilt = 40
 	// maxPartitions bounds the partitions tried for one concurrency. Groups with many bands
 	// would exceed it, so they divide the layers in larger steps.
@@ -29,8 +29,8 @@
 	redundant bool
 }
 
-// bestPartitions returns the partitions with the highest rates, and the redundant partitions
-// with the highest rates among those.
+// bestPartitions returns the partitions with the highest rates, and in addition the redundant
+// partitions with the highest rates.
 func bestPartitions(m Model, members []Member, bands []band) []partition {
 	step := 1
 	for countPartitions(m.Layers/step, len(bands)-1) > maxPartitions {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -3,9 +3,10 @@
 // Many requests run at once, and each passes every layer of the model for each token. A step
 // of an accelerator takes longer with each request in its batch, so slow accelerators with
 // many layers lengthen every answer, which in turn puts more requests into every batch. Above
-// a certain arrival rate this growth has no end. Each request also takes cache memory beside
-// the layers until its answer is complete. The package looks for the layout that sustains the
-// highest arrival rate.
+// a certain arrival rate this growth has no end. Each request also takes cache memory (its KV
+// cache) beside the layers until its answer is complete. The package looks for the layout that
+// sustains the highest arrival rate, and accepts a rate that is somewhat lower if every layer
+// then has two holders.
 //
 // Its results depend only on its arguments: the members that are alive and what they hold.
 package placer
@@ -29,7 +30,7 @@
 	// Layers is the number of layers, LayerMB the size of one in MB.
 	Layers  int
 	LayerMB float64
-	// TokenMB is the cache memory of one token in one layer, in MB.
+	// TokenMB is the KV cache of one token in one layer, in MB.
 	TokenMB float64
 	// Tokens is the number of tokens that a typical request has in the cache.
 	Tokens float64
