--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -54,8 +54,8 @@
 	// settleTime is how long the fleet must not have grown before the first layout, so that
 	// the layout includes all of it: its upstreams appear over the course of a heartbeat.
 	settleTime = 900 * time.Millisecond
-	// returnGrace is how long an upstream that is no longer listed keeps its place: the
-	// seconds that a crash takes, less the heartbeats until its entry lapses.
+	// returnGrace is how long an upstream that is no longer listed keeps its place: the few
+	// seconds until it returns from a crash, less the heartbeats until its entry lapses.
 	returnGrace = 4 * time.Second
 )
 
@@ -170,9 +170,9 @@
 	}
 }
 
-// addRecentlyListed adds members that were listed a moment ago, and sets how long the empty ones
-// have been empty. An upstream that crashed is listed again within seconds, empty and possibly
-// under another ID, at the same address.
+// addRecentlyListed adds members that were listed a moment ago, as missing, and sets how long the
+// empty ones have been empty. An upstream that crashed is listed again within seconds, empty and
+// possibly under another ID, at the same address.
 func (o *Orderer) addRecentlyListed(members []placer.Member, addresses map[string]string) []placer.Member {
 	now := o.Now()
 	listed := make(map[string]bool, len(members))
