--- a/placer/cover.go
+++ b/placer/cover.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// cover counts the members that hold each layer.
-type cover struct{ n []int }
+// coverage counts the members that hold each layer; n is indexed by layer.
+type coverage struct{ n []int }
 
-func newCover(m Model) *cover { return &cover{n: make([]int, m.Layers)} }
+func newCoverage(m Model) *coverage { return &coverage{n: make([]int, m.Layers)} }
 
-func (c *cover) add(s Span, by int) {
+// add changes the number of holders of each layer in s by delta; s may exceed the model.
+func (c *coverage) add(s Span, delta int) {
 	for l := max(0, s.From); l < min(s.To, len(c.n)); l++ {
-		c.n[l] += by
+		c.n[l] += delta
 	}
 }
 
-// gap is the first range of layers that nobody holds.
-func (c *cover) gap() Span {
+// gap returns the first range of layers that no member holds; empty if there is none.
+func (c *coverage) gap() Span {
 	from := slices.Index(c.n, 0)
 	if from < 0 {
 		return Span{}
@@ -26,8 +27,8 @@
 	return Span{from, to}
 }
 
-// spare reports whether others than its holder hold every layer of a span.
-func (c *cover) spare(s Span) bool {
+// redundant reports whether each layer of s has at least two holders, which holds for an empty s.
+func (c *coverage) redundant(s Span) bool {
 	for l := s.From; l < min(s.To, len(c.n)); l++ {
 		if c.n[l] < 2 {
 			return false
