--- a/follower/large_test.go
+++ b/follower/large_test.go
@@ -41,10 +41,10 @@
 }
 
 // runSlow follows a slow source in virtual time.
-func runSlow(t *testing.T, takes time.Duration, reads func() bool, f func(src *slowSource, fol *follower.Follower)) {
+func runSlow(t *testing.T, loadDuration time.Duration, reads func() bool, f func(src *slowSource, fol *follower.Follower)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
-		src := &slowSource{Directory: new(faker.Directory), loadDuration: takes}
+		src := &slowSource{Directory: new(faker.Directory), loadDuration: loadDuration}
 		src.Configure(&matcher.Configuration{Version: 3})
 		src.List(balancer.Upstream{ID: "one", Address: "1"})
 		started := time.Now()
