--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -22,54 +22,54 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// member is one host of a fleet that follows one source.
+// member is one host of a fleet that follows a shared source.
 type member struct {
 	name, dataCentre string
 	follow           *follower.Follower
 	balancer         *balancer.Balancer
 	share            *sharer.Sharer
 	suspects         *tracker.Suspects
-	away             atomic.Bool
+	refused          atomic.Bool
 	run, kill        func()
 }
 
-// fleet is hosts in some data centres before one source.
+// fleet is a set of hosts in some data centres that follow one source.
 type fleet struct {
 	net     *faker.Network
 	source  *faker.Directory
 	members []*member
 	calls   atomic.Int64
-	// quiet stops the upstream that repeats its entry.
+	// quiet stops the upstream that keeps rewriting its entry.
 	quiet atomic.Bool
 	now   func() time.Duration
 }
 
-// view is the source as one host reads it: its own entry is left out.
-type view struct {
+// sourceView is the source as one host reads it, without the entry of that host.
+type sourceView struct {
 	*member
 	fleet *fleet
 }
 
-func (v view) Load(ctx context.Context, turn follower.Turn) (*follower.Changes, error) {
-	return v.see(v.fleet.source.Load(ctx, turn))
+func (v sourceView) Load(ctx context.Context, turn follower.Turn) (*follower.Changes, error) {
+	return v.withoutSelf(v.fleet.source.Load(ctx, turn))
 }
 
-func (v view) Changes(ctx context.Context, after follower.Position, wait time.Duration) (*follower.Changes, error) {
-	return v.see(v.fleet.source.Changes(ctx, after, wait))
+func (v sourceView) Changes(ctx context.Context, after follower.Position, wait time.Duration) (*follower.Changes, error) {
+	return v.withoutSelf(v.fleet.source.Changes(ctx, after, wait))
 }
 
-func (v view) Configuration(ctx context.Context) (*matcher.Configuration, error) {
+func (v sourceView) Configuration(ctx context.Context) (*matcher.Configuration, error) {
 	v.fleet.calls.Add(1)
-	if v.away.Load() {
-		return nil, errors.New("turned away")
+	if v.refused.Load() {
+		return nil, errors.New("source refused the call")
 	}
 	return v.fleet.source.Configuration(ctx)
 }
 
-func (v view) see(ch *follower.Changes, err error) (*follower.Changes, error) {
+func (v sourceView) withoutSelf(ch *follower.Changes, err error) (*follower.Changes, error) {
 	v.fleet.calls.Add(1)
-	if v.away.Load() {
-		return nil, errors.New("turned away")
+	if v.refused.Load() {
+		return nil, errors.New("source refused the call")
 	}
 	if err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 	return &out, nil
 }
 
-// runFleet runs hosts in virtual time, with an upstream that repeats its entry all
-// the time, and lets them settle.
+// runFleet starts hosts in virtual time, with an upstream that keeps rewriting its entry, and calls
+// f after three seconds.
 func runFleet(t *testing.T, centres, each int, f func(is *is.I, fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -99,9 +99,9 @@
 			fl.source.Host(follower.Host{Name: m.name, Address: m.name + ":1", DataCentre: m.dataCentre})
 			fl.members = append(fl.members, m)
 		}
-		go fl.beat(ctx)
-		// All listen before the first calls another one: who does not answer is passed
-		// over for seconds.
+		go fl.heartbeat(ctx)
+		// All hosts listen before the first call, because a host that does not answer is skipped
+		// for seconds.
 		for _, m := range fl.members {
 			fl.listen(ctx, t, m)
 		}
@@ -120,7 +120,7 @@
 	})
 }
 
-func (fl *fleet) beat(ctx context.Context) {
+func (fl *fleet) heartbeat(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !fl.quiet.Load() {
 			fl.source.List(balancer.Upstream{ID: "steady", Address: "0"})
@@ -133,7 +133,7 @@
 	t.Helper()
 	m.balancer = &balancer.Balancer{DataCentre: m.dataCentre}
 	m.suspects = new(tracker.Suspects)
-	m.follow = &follower.Follower{Source: view{m, fl}, Balancer: m.balancer, Now: fl.now, Log: zerolog.Nop()}
+	m.follow = &follower.Follower{Source: sourceView{m, fl}, Balancer: m.balancer, Now: fl.now, Log: zerolog.Nop()}
 	m.follow.OnChange = func() {
 		hosts := make(map[string]string)
 		for _, h := range m.follow.Hosts() {
@@ -160,12 +160,13 @@
 	}
 }
 
-// reader is the host of a data centre that reads the source.
+// reader returns the host of a data centre that reads the source, and fails the test unless there
+// is exactly one.
 func (fl *fleet) reader(is *is.I, dataCentre string) *member {
 	var out *member
 	for _, m := range fl.members {
 		if m.dataCentre == dataCentre && m.share.Reads() {
-			is.True(out == nil) // one of them
+			is.True(out == nil) // exactly one
 			out = m
 		}
 	}
@@ -173,7 +174,7 @@
 	return out
 }
 
-// relays are the hosts of a data centre that others of it report to.
+// relays returns the hosts of a data centre that see themselves as relays.
 func (fl *fleet) relays(dataCentre string) []*member {
 	var out []*member
 	for _, m := range fl.members {
@@ -184,12 +185,12 @@
 	return out
 }
 
-// without is the members but some.
-func (fl *fleet) without(left []*member) []*member {
+// without returns the members that are not excluded.
+func (fl *fleet) without(excluded []*member) []*member {
 	var out []*member
 	for _, m := range fl.members {
 		keep := true
-		for _, l := range left {
+		for _, l := range excluded {
 			keep = keep && l != m
 		}
 		if keep {
@@ -199,8 +200,8 @@
 	return out
 }
 
-// knows reports whether all of some hosts know an upstream, as leaving or not.
-func knows(members []*member, id string, leaving bool) bool {
+// allKnow reports whether all members list an upstream with the given leaving state.
+func allKnow(members []*member, id string, leaving bool) bool {
 	for _, m := range members {
 		found := false
 		for _, u := range m.balancer.Listed() {
@@ -213,8 +214,8 @@
 	return true
 }
 
-// counted is how many hosts a member has reports of, itself included.
-func (fl *fleet) counted(m *member) int {
+// hostCount returns how many hosts a member has reports of, including itself.
+func (fl *fleet) hostCount(m *member) int {
 	n := 0
 	for _, hosts := range m.balancer.Sum(fl.now(), func(string) bool { return false }, nil).Hosts {
 		n += hosts
@@ -222,8 +223,8 @@
 	return n
 }
 
-// dead is how many hosts a member knows to which an upstream takes no connection.
-func (fl *fleet) dead(m *member, id string) int64 {
+// deadCount returns how many hosts report to a member that an upstream accepts no connection.
+func (fl *fleet) deadCount(m *member, id string) int64 {
 	for _, u := range m.balancer.Sum(fl.now(), func(string) bool { return false }, nil).Usage {
 		if u.Upstream == id {
 			return u.Dead
@@ -232,8 +233,8 @@
 	return 0
 }
 
-// oldest is the highest age of what any of some hosts knows.
-func oldest(members []*member) time.Duration {
+// maxReadAge returns the highest staleness of what any of the members knows.
+func maxReadAge(members []*member) time.Duration {
 	out := time.Duration(0)
 	for _, m := range members {
 		out = max(out, m.follow.ReadAge())
@@ -241,7 +242,7 @@
 	return out
 }
 
-// await waits until a condition holds and returns how long that took.
+// await waits until ok returns true, for at most limit, and returns how long that took.
 func await(limit time.Duration, ok func() bool) time.Duration {
 	started := time.Now()
 	for time.Since(started) < limit && !ok() {
@@ -250,9 +251,9 @@
 	return time.Since(started)
 }
 
-// TestFleet guards against calls on the source and news between hosts that grow with
-// the hosts of a fleet.
-func TestFleet(t *testing.T) {
+// TestFleetScale checks that calls to the source stay bounded by the number of data centres, and
+// that changes reach all hosts in time in fleets of different sizes.
+func TestFleetScale(t *testing.T) {
 	for _, size := range []struct{ centres, each int }{{5, 24}, {3, 8}, {1, 3}} {
 		t.Run(fmt.Sprint(size.centres, " data centres of ", size.each), func(t *testing.T) {
 			runFleet(t, size.centres, size.each, func(is *is.I, fl *fleet) {
@@ -260,23 +261,23 @@
 				fl.calls.Store(0)
 				for range 10 * seconds {
 					time.Sleep(100 * time.Millisecond)
-					is.True(oldest(fl.members) <= 1500*time.Millisecond)
+					is.True(maxReadAge(fl.members) <= 1500*time.Millisecond)
 				}
-				is.True(fl.calls.Load() <= int64(3*size.centres*seconds)) // one reader a data centre, 2.5 a second each
+				is.True(fl.calls.Load() <= int64(3*size.centres*seconds)) // one reader per data centre, 2.5 calls per second each
 				for _, m := range fl.members {
-					is.Equal(fl.counted(m), len(fl.members)) // each host once
+					is.Equal(fl.hostCount(m), len(fl.members)) // each host is counted once
 				}
 				for _, m := range fl.members {
 					m.balancer.SetDead(fl.now(), "steady", true)
 				}
 				time.Sleep(2 * time.Second)
 				for _, m := range fl.members {
-					is.Equal(fl.dead(m, "steady"), int64(len(fl.members)))
+					is.Equal(fl.deadCount(m, "steady"), int64(len(fl.members)))
 				}
 				fl.source.List(balancer.Upstream{ID: "new", Address: "1"})
-				is.True(await(3*time.Second, func() bool { return knows(fl.members, "new", false) }) <= 1500*time.Millisecond)
+				is.True(await(3*time.Second, func() bool { return allKnow(fl.members, "new", false) }) <= 1500*time.Millisecond)
 				fl.source.List(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
-				is.True(await(3*time.Second, func() bool { return knows(fl.members, "new", true) }) <= 1500*time.Millisecond)
+				is.True(await(3*time.Second, func() bool { return allKnow(fl.members, "new", true) }) <= 1500*time.Millisecond)
 				fl.source.Configure(&matcher.Configuration{Version: 2})
 				is.True(await(3*time.Second, func() bool {
 					for _, m := range fl.members {
@@ -291,8 +292,8 @@
 	}
 }
 
-// TestQuietSource guards against hosts that read a source in which nothing changes
-// themselves, since what their relays read seems too old.
+// TestQuietSource checks that hosts do not read an unchanging source themselves because what their
+// relays read looks stale.
 func TestQuietSource(t *testing.T) {
 	runFleet(t, 5, 24, func(is *is.I, fl *fleet) {
 		const seconds = 10
@@ -301,15 +302,15 @@
 		fl.calls.Store(0)
 		for range 10 * seconds {
 			time.Sleep(100 * time.Millisecond)
-			is.True(oldest(fl.members) <= 1500*time.Millisecond)
+			is.True(maxReadAge(fl.members) <= 1500*time.Millisecond)
 		}
 		is.True(fl.calls.Load() <= 3*5*seconds)
 	})
 }
 
-// TestUrgentNews guards against crash suspects that reach distant hosts too late to
-// spare an upstream.
-func TestUrgentNews(t *testing.T) {
+// TestStrikesReachFleet checks that strikes reach distant hosts early enough to quarantine a
+// request before it crashes another upstream.
+func TestStrikesReachFleet(t *testing.T) {
 	for _, size := range []struct {
 		centres, each int
 		most          time.Duration
@@ -327,15 +328,15 @@
 					}
 					return true
 				})
-				t.Logf("known to all after %v", took)
+				t.Logf("known to all hosts after %v", took)
 				is.True(took <= size.most)
 			})
 		})
 	}
 }
 
-// TestRelaysLost guards against a data centre that knows nothing once its relays are
-// killed at the same moment.
+// TestRelaysLost checks that a data centre keeps receiving changes when all its relays are killed
+// at the same moment.
 func TestRelaysLost(t *testing.T) {
 	runFleet(t, 3, 8, func(is *is.I, fl *fleet) {
 		lost := fl.relays("dc1")
@@ -346,60 +347,60 @@
 		}
 		left := fl.without(lost)
 		fl.source.List(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
-		is.True(await(3*time.Second, func() bool { return knows(left, "new", true) }) <= 2*time.Second)
+		is.True(await(3*time.Second, func() bool { return allKnow(left, "new", true) }) <= 2*time.Second)
 		for range 40 {
-			is.True(oldest(left) <= 2*time.Second)
+			is.True(maxReadAge(left) <= 2*time.Second)
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(len(fl.relays("dc1")) >= 3) // the lost ones still count themselves
+		is.True(len(fl.relays("dc1")) >= 3) // the killed relays still see themselves as relays
 		for _, m := range left {
-			is.Equal(fl.counted(m), len(left))
+			is.Equal(fl.hostCount(m), len(left))
 		}
 	})
 }
 
-// TestReaderTurnedAway guards against a whole data centre that calls the source once
-// it turns away the one host that reads it.
-func TestReaderTurnedAway(t *testing.T) {
+// TestReaderRefused checks that not all hosts of a data centre call the source when it refuses the
+// one host that reads it.
+func TestReaderRefused(t *testing.T) {
 	runFleet(t, 1, 24, func(is *is.I, fl *fleet) {
 		away := fl.reader(is, "dc0")
-		away.away.Store(true)
+		away.refused.Store(true)
 		time.Sleep(3 * time.Second)
 		fl.calls.Store(0)
 		const seconds = 10
 		for range 10 * seconds {
-			is.True(oldest(fl.members) <= 2*time.Second)
+			is.True(maxReadAge(fl.members) <= 2*time.Second)
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(fl.calls.Load() <= 8*seconds) // the one turned away tries four times a second
+		is.True(fl.calls.Load() <= 8*seconds) // the refused host retries four times a second
 	})
 }
 
-// TestRelaysTurnedAway guards against hosts that grow out of date while the source
-// turns away the relays that read it for them.
-func TestRelaysTurnedAway(t *testing.T) {
+// TestRelaysRefused checks that hosts do not become stale while the source refuses the relays that
+// read it for them.
+func TestRelaysRefused(t *testing.T) {
 	runFleet(t, 3, 8, func(is *is.I, fl *fleet) {
 		for _, m := range append(fl.relays("dc1"), fl.reader(is, "dc1")) {
-			m.away.Store(true)
+			m.refused.Store(true)
 		}
 		time.Sleep(2 * time.Second)
 		fl.source.List(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
-		is.True(await(6*time.Second, func() bool { return knows(fl.members, "new", true) }) <= 2500*time.Millisecond)
+		is.True(await(6*time.Second, func() bool { return allKnow(fl.members, "new", true) }) <= 2500*time.Millisecond)
 		for range 40 {
-			is.True(oldest(fl.members) <= 2500*time.Millisecond)
+			is.True(maxReadAge(fl.members) <= 2500*time.Millisecond)
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
 }
 
-// TestCentreCut guards against load of a data centre that can't be reached staying in
-// the sums of the others.
-func TestCentreCut(t *testing.T) {
+// TestDataCentrePartition checks that reports of an unreachable data centre drop out of the sums of
+// the others.
+func TestDataCentrePartition(t *testing.T) {
 	runFleet(t, 3, 8, func(is *is.I, fl *fleet) {
 		for _, m := range fl.members {
 			m.balancer.SetDead(fl.now(), "steady", true)
 			if m.dataCentre == "dc2" {
-				m.away.Store(true)
+				m.refused.Store(true)
 			}
 		}
 		time.Sleep(2 * time.Second)
@@ -418,8 +419,8 @@
 			if m.dataCentre == "dc2" {
 				want = 8
 			}
-			is.Equal(fl.counted(m), want)
-			is.Equal(fl.dead(m, "steady"), int64(want))
+			is.Equal(fl.hostCount(m), want)
+			is.Equal(fl.deadCount(m, "steady"), int64(want))
 		}
 	})
 }
--- a/sharer/limits.go
+++ b/sharer/limits.go
@@ -8,26 +8,27 @@
 	"github.com/sardineward/sardineward/peer"
 )
 
-// uninformed bounds how long a host that starts waits to hear from another one.
-const uninformed = 400 * time.Millisecond
+// maxLimitsWait bounds how long a starting host waits for another one, from the moment it knows of
+// other hosts.
+const maxLimitsWait = 400 * time.Millisecond
 
-// Informed reports whether another host told this one which upstreams name a limit, or there
-// is nobody to tell it.
+// Informed reports whether this host knows which upstreams name a limit: another host has sent its
+// limits, there is no other host, or none answered within maxLimitsWait.
 func (s *Sharer) Informed() bool {
-	if s.informed.Load() {
+	if s.heardFromHost.Load() {
 		return true
 	}
 	if s.Follower.Position().IsZero() {
 		return false
 	}
-	since := s.hostsAt.Load()
-	return len(s.Follower.Hosts()) == 0 || (since > 0 && s.Now()-time.Duration(since) > uninformed)
+	since := s.hostsKnownAt.Load()
+	return len(s.Follower.Hosts()) == 0 || (since > 0 && s.Now()-time.Duration(since) > maxLimitsWait)
 }
 
-// limits are what upstreams named, for a peer.
+// limits returns the limits named by upstreams, to send to a peer.
 func (s *Sharer) limits() []*peer.Limit {
 	now := s.Now()
-	list := s.Balancer.Limits(now, mostLimits)
+	list := s.Balancer.Limits(now, maxLimits)
 	out := make([]*peer.Limit, len(list))
 	for i := range list {
 		l := &list[i]
@@ -39,9 +40,9 @@
 	return out
 }
 
-// takeLimits takes in the limits that a peer told of.
-func (s *Sharer) takeLimits(host string, list []*peer.Limit) {
-	s.informed.Store(true)
+// applyLimits merges the limits sent by a peer.
+func (s *Sharer) applyLimits(host string, list []*peer.Limit) {
+	s.heardFromHost.Store(true)
 	now := s.Now()
 	for _, p := range list {
 		l := limiter.Limit{Version: p.Version, PerSecond: p.PerSecond, Heard: now - millis(p.AgeMs)}
@@ -49,8 +50,8 @@
 			l.PerSecond = limiter.Unlimited
 		}
 		if err := l.Check(); err != nil {
-			if s.firstImpossible(host) {
-				s.Log.Warn().Err(err).Str("peer", host).Str("upstream", p.Upstream).Msg("sharer: limit is left out")
+			if s.firstInvalid(host) {
+				s.Log.Warn().Err(err).Str("peer", host).Str("upstream", p.Upstream).Msg("sharer: invalid limit from peer, ignored")
 			}
 			continue
 		}
--- a/sharer/limits_test.go
+++ b/sharer/limits_test.go
@@ -12,8 +12,8 @@
 	"github.com/sardineward/sardineward/limiter"
 )
 
-// limitsOf reports whether all of some hosts know of some limits in force.
-func limitsOf(members []*member, n int) bool {
+// allHaveLimits reports whether all members know n limits in force.
+func allHaveLimits(members []*member, n int) bool {
 	for _, m := range members {
 		if m.balancer.LimitCount() != n {
 			return false
@@ -22,9 +22,9 @@
 	return true
 }
 
-// TestLimitsTold guards against hosts that go on sending to an upstream in need since they
-// hear of its limit late, or of its end never.
-func TestLimitsTold(t *testing.T) {
+// TestLimitsReachFleet checks that all hosts learn of an upstream's limit within a second, and of
+// its end even when a relay is lost.
+func TestLimitsReachFleet(t *testing.T) {
 	for _, size := range []struct{ centres, each int }{{1, 4}, {3, 8}, {5, 24}} {
 		t.Run(fmt.Sprint(size.centres*size.each, " hosts"), func(t *testing.T) {
 			runFleet(t, size.centres, size.each, func(is *is.I, fl *fleet) {
@@ -34,8 +34,8 @@
 				now := fl.now()
 				_, changed := first.balancer.ObserveLimit(now, now, "needy", 0, 2)
 				is.True(changed)
-				took := await(5*time.Second, func() bool { return limitsOf(fl.members, 1) })
-				t.Logf("known to all after %v", took)
+				took := await(5*time.Second, func() bool { return allHaveLimits(fl.members, 1) })
+				t.Logf("known to all hosts after %v", took)
 				is.True(took <= time.Second)
 
 				time.Sleep(time.Second)
@@ -44,17 +44,17 @@
 				_, changed = last.balancer.ObserveLimit(now, now, "needy", 0, limiter.Unlimited)
 				is.True(changed)
 				left := fl.without(fl.relays("dc0")[:1])
-				took = await(5*time.Second, func() bool { return limitsOf(left, 0) })
-				t.Logf("its end known to all that are left after %v, with a relay lost", took)
+				took = await(5*time.Second, func() bool { return allHaveLimits(left, 0) })
+				t.Logf("end of the limit known to all remaining hosts after %v, with a relay lost", took)
 				is.True(took <= 2*time.Second)
 			})
 		})
 	}
 }
 
-// TestStartedHostTold guards against a host that has just started and sends to a limited
-// upstream, since it takes requests before another host told it.
-func TestStartedHostTold(t *testing.T) {
+// TestStartedHostLearnsLimits checks that a host that has just started knows the limits of
+// upstreams before it takes requests.
+func TestStartedHostLearnsLimits(t *testing.T) {
 	runFleet(t, 3, 8, func(is *is.I, fl *fleet) {
 		fl.source.List(balancer.Upstream{ID: "needy", Address: "1"})
 		time.Sleep(2 * time.Second)
--- a/sharer/report.go
+++ b/sharer/report.go
@@ -7,22 +7,22 @@
 	"github.com/sardineward/sardineward/peer"
 )
 
-// Sources of reports beside hosts, which go by their name.
+// Sources of reports that are not single hosts. The report of a single host has its name as source.
 const (
-	// fleetSource is a relay that reported on all other hosts.
+	// fleetSource stands for a relay that reported on all other hosts.
 	fleetSource = "fleet:"
-	// centreSource is followed by a data centre.
-	centreSource = "dataCentre:"
+	// dataCentreSource is a prefix that is followed by the name of a data centre.
+	dataCentreSource = "dataCentre:"
 )
 
-// mostFar bounds the upstreams that a relay tells those of other data centres of. These
-// send little there while their own have room, and what is hardly used may pass for
-// idle.
-const mostFar = 256
+// maxRemoteUpstreams bounds the upstreams in a report to relays of other data centres. These send
+// little to the upstreams here while their own have room, so upstreams that are hardly used may be
+// reported as idle.
+const maxRemoteUpstreams = 256
 
-// answering is the scope of the report that answers one of a scope.
-func answering(asked peer.Scope) peer.Scope {
-	switch asked {
+// answerScope returns the scope of the report that answers a report of the given scope.
+func answerScope(request peer.Scope) peer.Scope {
+	switch request {
 	case peer.Scope_SCOPE_HOST:
 		return peer.Scope_SCOPE_FLEET
 	case peer.Scope_SCOPE_DATA_CENTRE:
@@ -32,30 +32,29 @@
 	}
 }
 
-// report is what this host tells a peer: of some upstreams where it sums the fleet up,
-// none is all. It is nil for no scope, and where this host does not know the hosts of
-// the scope one by one.
+// report returns what this host reports to a peer; nil for no scope, and for the scope of a data
+// centre if this host is no relay and does not know the hosts one by one. In the fleet scope the
+// report is limited to the given upstreams; none means all.
 func (s *Sharer) report(scope peer.Scope, to string, upstreams []string) *peer.Report {
 	now := s.Now()
 	switch scope {
 	case peer.Scope_SCOPE_HOST:
-		return encode(scope, s.Balancer.Usage(now))
+		return encodeReport(scope, s.Balancer.Usage(now))
 	case peer.Scope_SCOPE_FLEET:
-		return encode(scope, s.Balancer.Sum(now, func(source string) bool { return source == to }, upstreams))
+		return encodeReport(scope, s.Balancer.Sum(now, func(source string) bool { return source == to }, upstreams))
 	case peer.Scope_SCOPE_DATA_CENTRE:
 		if !s.roles.isRelay() {
 			return nil
 		}
-		sum := s.Balancer.Sum(now, func(source string) bool { return strings.HasPrefix(source, centreSource) }, nil)
-		return encode(scope, sum.Fullest(mostFar))
+		sum := s.Balancer.Sum(now, func(source string) bool { return strings.HasPrefix(source, dataCentreSource) }, nil)
+		return encodeReport(scope, sum.Fullest(maxRemoteUpstreams))
 	default:
 		return nil
 	}
 }
 
-// takeReport takes in what a peer reported, unless another report holds the same
-// hosts.
-func (s *Sharer) takeReport(host, dataCentre string, r *peer.Report) {
+// applyReport stores a report of a peer, unless another report covers the same hosts.
+func (s *Sharer) applyReport(host, dataCentre string, r *peer.Report) {
 	relay := s.roles.isRelay()
 	source := ""
 	switch r.GetScope() {
@@ -65,7 +64,7 @@
 		}
 	case peer.Scope_SCOPE_DATA_CENTRE:
 		if relay && dataCentre != s.DataCentre {
-			source = centreSource + dataCentre
+			source = dataCentreSource + dataCentre
 		}
 	case peer.Scope_SCOPE_FLEET:
 		if !relay {
@@ -76,25 +75,24 @@
 	if source == "" {
 		return
 	}
-	if err := s.Balancer.SetReport(s.Now(), source, translate(r)); err != nil && s.firstImpossible(host) {
-		s.Log.Warn().Err(err).Str("peer", host).Msg("sharer: report has an impossible figure, which is left out")
+	if err := s.Balancer.SetReport(s.Now(), source, decodeReport(r)); err != nil && s.firstInvalid(host) {
+		s.Log.Warn().Err(err).Str("peer", host).Msg("sharer: invalid figure in a report from peer, ignored")
 	}
 }
 
-// firstImpossible reports whether a host's report is the first one with a figure
-// that can't be.
-func (s *Sharer) firstImpossible(host string) bool {
+// firstInvalid reports whether host sent invalid figures for the first time.
+func (s *Sharer) firstInvalid(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.impossible == nil {
-		s.impossible = make(map[string]bool)
+	if s.invalidLogged == nil {
+		s.invalidLogged = make(map[string]bool)
 	}
-	first := !s.impossible[host]
-	s.impossible[host] = true
+	first := !s.invalidLogged[host]
+	s.invalidLogged[host] = true
 	return first
 }
 
-func encode(scope peer.Scope, r balancer.Report) *peer.Report {
+func encodeReport(scope peer.Scope, r balancer.Report) *peer.Report {
 	out := &peer.Report{Scope: scope, Hosts: make(map[string]uint32, len(r.Hosts)), Usage: make([]*peer.Usage, len(r.Usage))}
 	for dc, n := range r.Hosts {
 		if n > 0 {
@@ -111,7 +109,7 @@
 	return out
 }
 
-func translate(r *peer.Report) balancer.Report {
+func decodeReport(r *peer.Report) balancer.Report {
 	out := balancer.Report{Hosts: make(map[string]int, len(r.Hosts)), Usage: make([]balancer.Usage, len(r.Usage))}
 	for dc, n := range r.Hosts {
 		out.Hosts[dc] = int(n)
--- a/sharer/restore_test.go
+++ b/sharer/restore_test.go
@@ -10,8 +10,8 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// TestFleetRestored guards against hosts of a large fleet that are wrong for long, or all read
-// everything, after the source came back from a copy.
+// TestFleetRestored checks that the hosts of a large fleet are soon right again after the source
+// was restored from a copy, and that not all of them read everything.
 func TestFleetRestored(t *testing.T) {
 	for _, size := range []struct{ centres, each int }{{2, 2}, {3, 8}, {5, 24}, {5, 60}} {
 		for _, overtaken := range []bool{false, true} {
@@ -32,9 +32,9 @@
 					}
 					fl.calls.Store(0)
 					fl.source.SetAway(false)
-					took := await(5*time.Second, func() bool { return knows(fl.members, "leaves", true) })
+					took := await(5*time.Second, func() bool { return allKnow(fl.members, "leaves", true) })
 					time.Sleep(max(0, 5*time.Second-took))
-					t.Logf("all right after %v, %d calls on the source in 5 s", took, fl.calls.Load())
+					t.Logf("all hosts right after %v, %d calls to the source in 5 s", took, fl.calls.Load())
 					is.True(took <= 1500*time.Millisecond)
 					is.True(fl.calls.Load() <= int64(25*size.centres+2*len(fl.members)))
 					for _, m := range fl.members {
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -1,11 +1,11 @@
-// Package sharer exchanges soft state with the other entry hosts: what each has
-// in flight over which upstream, what the source holds, how old that knowledge is,
-// and which requests crashed upstreams. All of it can be lost and comes again with
-// the next exchanges.
+// Package sharer exchanges soft state with the other entry hosts: the requests each has in flight
+// per upstream, what the source holds and how stale that knowledge is, the limits that upstreams
+// name, and which requests were in flight when upstreams crashed. All of it may be lost, since the
+// next exchanges restore it.
 //
-// Hosts exchange with a few relays of their data centre, which add up reports and read
-// the source, and relays with those of other data centres. Who is one follows from the
-// list of hosts and from who answers.
+// Hosts exchange with a few relays of their data centre, which aggregate reports and read the
+// source. Relays also exchange with those of other data centres. Each host derives who is a relay
+// from the list of hosts and from which of them respond.
 package sharer
 
 import (
@@ -28,116 +28,119 @@
 )
 
 const (
-	// period is the time between two exchanges with a host, up to some hosts:
-	// a tenth of the life of a stream.
-	period = 200 * time.Millisecond
-	// perHost stretches the period, so that a relay spends a fixed part of its
-	// processor on the hosts of its data centre however many there are.
-	perHost = 10 * time.Millisecond
-	// perFar is the same for the relays of other data centres: what crosses is paid for
-	// and matters less, since callers stay in their own data centre where they can.
-	perFar = 50 * time.Millisecond
-	// timeout bounds one exchange: a hundred times the way there and back.
-	timeout = 300 * time.Millisecond
-	// behind is the age of what was read from which a host is no source for others,
-	// and of the own reading from which it asks others.
-	behind = 2 * time.Second
-	// unserved is the age of all that was read or told from which such a host asks.
-	unserved = 1800 * time.Millisecond
-	// asked is how many others a host that is behind asks at once for what they
-	// read. One may be behind as well.
-	asked = 2
-	// mostStrikes bounds the crashes told in one exchange: 2 KB.
-	mostStrikes = 32
-	// mostLimits bounds the limits told in one exchange: 3 KB.
-	mostLimits = 64
-	// starting is the time between two looks for other hosts before the first reading.
-	starting = 10 * time.Millisecond
+	// exchangeInterval is the time between two exchanges with a host while there are few hosts: a
+	// tenth of the lifetime of a stream.
+	exchangeInterval = 200 * time.Millisecond
+	// intervalPerHost lengthens the interval, so that a relay spends a fixed share of its CPU on
+	// the hosts of its data centre however many there are.
+	intervalPerHost = 10 * time.Millisecond
+	// intervalPerRemoteRelay is the same for the relays of other data centres. Traffic between data
+	// centres is paid for and matters less, since callers stay in their own data centre where they
+	// can.
+	intervalPerRemoteRelay = 50 * time.Millisecond
+	// exchangeTimeout bounds one exchange: a hundred times the round-trip time.
+	exchangeTimeout = 300 * time.Millisecond
+	// staleAge is the staleness of what was read from which a host is no source for others, and the
+	// staleness of its own reads from which a host asks others.
+	staleAge = 2 * time.Second
+	// unservedAge is the staleness of everything read or received from peers from which a host
+	// whose own reads are stale asks others.
+	unservedAge = 1800 * time.Millisecond
+	// maxSources is how many other hosts a stale host asks at once for what they read. More than
+	// one, because any of them may be stale as well.
+	maxSources = 2
+	// maxStrikes bounds the strikes sent in one exchange: 2 KB.
+	maxStrikes = 32
+	// maxLimits bounds the upstream limits sent in one exchange: 3 KB.
+	maxLimits = 64
+	// startupInterval is the time between two rounds before the source was first read.
+	startupInterval = 10 * time.Millisecond
 )
 
-// Sharer is a peer.Share. The fields are set before Run.
+// Sharer exchanges state with other hosts and serves their calls as a peer.Share. The exported
+// fields are set before Run.
 type Sharer struct {
 	Self       string
 	DataCentre string
 	Follower   *follower.Follower
 	Balancer   *balancer.Balancer
-	// Suspects keeps the crashes that requests were in flight for.
+	// Suspects keeps the strikes against requests that were in flight when an upstream crashed.
 	Suspects *tracker.Suspects
-	// Now is a clock that goes on while the machine is suspended.
+	// Now reads a clock that keeps running while the machine is suspended.
 	Now  func() time.Duration
 	HTTP *http.Client
 	Log  zerolog.Logger
 
 	roles roles
 	mu    sync.Mutex
-	// busy are the hosts with which an exchange is under way.
-	busy map[string]bool
-	// turn counts the rounds, so that hosts are asked in turn.
-	turn int
-	// farAt is when relays of other data centres were last called.
-	farAt time.Duration
-	// impossible are the hosts whose report was logged as such.
-	impossible map[string]bool
-	// informed is set once another host answered, or called.
-	informed atomic.Bool
-	// hostsAt is when other hosts were first known; 0 is not yet.
-	hostsAt atomic.Int64
+	// inProgress holds the names of the hosts with which an exchange is in progress.
+	inProgress map[string]bool
+	// rotation advances with each round, so that hosts are asked in turn.
+	rotation int
+	// remoteCalledAt is when relays of other data centres were last called.
+	remoteCalledAt time.Duration
+	// invalidLogged holds the names of the hosts whose invalid reports or limits were logged.
+	invalidLogged map[string]bool
+	// heardFromHost is set once another host answered or called.
+	heardFromHost atomic.Bool
+	// hostsKnownAt is when other hosts were first known; 0 means that none are known yet.
+	hostsKnownAt atomic.Int64
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges state with other hosts until ctx ends.
 func (s *Sharer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		hosts := s.Follower.Hosts()
 		if len(hosts) > 0 {
-			s.hostsAt.CompareAndSwap(0, int64(s.Now()))
+			s.hostsKnownAt.CompareAndSwap(0, int64(s.Now()))
 		}
-		p := s.assign(hosts)
+		p := s.updateRole(hosts)
 		calls := s.calls(p)
-		if s.Follower.OwnAge() > behind && s.Follower.ReadAge() > unserved {
-			calls = askBehind(calls, s.sources(hosts))
+		if s.Follower.OwnAge() > staleAge && s.Follower.ReadAge() > unservedAge {
+			calls = requestFull(calls, s.sources(hosts))
 		}
-		for _, h := range s.roles.probes(s.Now()) {
+		for _, h := range s.roles.dueProbes(s.Now()) {
 			calls = append(calls, call{host: h})
 		}
 		for _, c := range calls {
-			s.begin(ctx, c)
+			s.startExchange(ctx, c)
 		}
-		if s.roles.standsIn(s.Now(), s.Follower.ReadAge()) {
+		if s.roles.takeOver(s.Now(), s.Follower.ReadAge()) {
 			s.Follower.Wake()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(s.pause(hosts, p)):
+		case <-time.After(s.roundInterval(hosts, p)):
 		}
 	}
 }
 
-// call is one exchange to begin.
+// call is an exchange to start.
 type call struct {
 	host  follower.Host
 	scope peer.Scope
-	// behind asks for everything, and changes for what the source holds that this
-	// host does not know yet.
-	behind, changes bool
+	// full asks for everything the peer knows; changes asks for what changed at the source after
+	// this host's position.
+	full, changes bool
 }
 
-// calls are the exchanges of one round. Of two relays of different data centres
-// the one whose name comes first calls the other.
+// calls returns the exchanges of one round. Of two relays in different data centres, the one whose
+// name sorts first calls the other.
 func (s *Sharer) calls(p plan) []call {
 	if !p.relay {
-		if len(p.near) == 0 {
+		if len(p.localRelays) == 0 {
 			return nil
 		}
-		return []call{{host: p.near[s.next(1)%len(p.near)], scope: peer.Scope_SCOPE_HOST, changes: true}}
+		return []call{{host: p.localRelays[s.advanceRotation(1)%len(p.localRelays)], scope: peer.Scope_SCOPE_HOST, changes: true}}
 	}
 	var out []call
-	for _, h := range p.near {
+	for _, h := range p.localRelays {
 		out = append(out, call{host: h, scope: peer.Scope_SCOPE_HOST, changes: true})
 	}
-	if !s.farDue(len(p.far)) {
+	if !s.remoteCallDue(len(p.remoteRelays)) {
 		return out
 	}
-	for _, h := range p.far {
+	for _, h := range p.remoteRelays {
 		if s.Self < h.Name {
 			out = append(out, call{host: h, scope: peer.Scope_SCOPE_DATA_CENTRE})
 		}
@@ -145,142 +148,143 @@
 	return out
 }
 
-// askBehind has some hosts asked for everything, in the calls to them where there are
-// any: a second call to a host does not begin while one is under way.
-func askBehind(calls []call, sources []follower.Host) []call {
+// requestFull makes the calls to some hosts ask for everything, and adds calls to the other
+// sources. A separate second call would not start while one to the same host is in progress.
+func requestFull(calls []call, sources []follower.Host) []call {
 	for _, h := range sources {
 		i := slices.IndexFunc(calls, func(c call) bool { return c.host.Name == h.Name })
 		if i < 0 {
-			calls = append(calls, call{host: h, behind: true})
+			calls = append(calls, call{host: h, full: true})
 		} else {
-			calls[i].behind = true
+			calls[i].full = true
 		}
 	}
 	return calls
 }
 
-// farDue reports whether relays of other data centres are to be called in this round.
-func (s *Sharer) farDue(relays int) bool {
+// remoteCallDue reports whether relays of other data centres are to be called in this round, and if
+// so records the time.
+func (s *Sharer) remoteCallDue(relays int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	// Half of a period of slack: rounds begin a little after they are due.
-	if now-s.farAt < max(period, time.Duration(relays)*perFar)-period/2 {
+	// Half an interval of tolerance, because rounds start a little after they are due.
+	if now-s.remoteCalledAt < max(exchangeInterval, time.Duration(relays)*intervalPerRemoteRelay)-exchangeInterval/2 {
 		return false
 	}
-	s.farAt = now
+	s.remoteCalledAt = now
 	return true
 }
 
-// pause is the time between two rounds. A host that is no relay calls one relay in
-// each, in turn, and hears from all of them within a period.
-func (s *Sharer) pause(hosts []follower.Host, p plan) time.Duration {
+// roundInterval returns the time between two rounds. A host that is no relay calls one relay in
+// each round, in turn, and so exchanges with all of them within one interval.
+func (s *Sharer) roundInterval(hosts []follower.Host, p plan) time.Duration {
 	if s.Follower.Position().IsZero() {
-		return starting
+		return startupInterval
 	}
-	near := 1
+	localHosts := 1
 	for _, h := range hosts {
 		if h.DataCentre == s.DataCentre {
-			near++
+			localHosts++
 		}
 	}
-	out := max(period, time.Duration(near)*perHost)
+	out := max(exchangeInterval, time.Duration(localHosts)*intervalPerHost)
 	if !p.relay {
-		out /= time.Duration(max(1, len(p.near)))
+		out /= time.Duration(max(1, len(p.localRelays)))
 	}
 	return out
 }
 
-// sources are the hosts to ask for what they read, in turn: those that answered
-// last, where there are any. They are few, since all of them together would fill
-// the link of the one that asks.
+// sources returns the hosts to ask for what they read, in turn. Hosts that answered their last call
+// come first. At most maxSources are asked, because the answers of all hosts together would
+// saturate the link of the one that asks.
 func (s *Sharer) sources(hosts []follower.Host) []follower.Host {
 	var list []follower.Host
 	for _, answering := range []bool{true, false} {
 		for _, h := range hosts {
-			if s.roles.isSilent(h.Name) != answering {
+			if s.roles.isUnresponsive(h.Name) != answering {
 				list = append(list, h)
 			}
 		}
-		if len(list) >= asked {
+		if len(list) >= maxSources {
 			break
 		}
 	}
 	sortByName(list)
-	turn := s.next(asked)
+	start := s.advanceRotation(maxSources)
 	var out []follower.Host
-	for i := range min(asked, len(list)) {
-		out = append(out, list[(turn+i)%len(list)])
+	for i := range min(maxSources, len(list)) {
+		out = append(out, list[(start+i)%len(list)])
 	}
 	return out
 }
 
-// next returns the turn and adds to it.
-func (s *Sharer) next(n int) int {
+// advanceRotation adds n to the rotation and returns its value before.
+func (s *Sharer) advanceRotation(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	turn := s.turn
-	s.turn += n
-	return turn
+	before := s.rotation
+	s.rotation += n
+	return before
 }
 
-// begin starts an exchange unless one with that host is under way.
-func (s *Sharer) begin(ctx context.Context, c call) {
+// startExchange starts an exchange unless one with the same host is in progress.
+func (s *Sharer) startExchange(ctx context.Context, c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy == nil {
-		s.busy = make(map[string]bool)
+	if s.inProgress == nil {
+		s.inProgress = make(map[string]bool)
 	}
-	if s.busy[c.host.Name] {
+	if s.inProgress[c.host.Name] {
 		return
 	}
-	s.busy[c.host.Name] = true
+	s.inProgress[c.host.Name] = true
 	go func() {
 		s.exchange(ctx, c)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.busy, c.host.Name)
+		delete(s.inProgress, c.host.Name)
 	}()
 }
 
-// exchange makes one call and takes the answer in.
+// exchange makes one call and applies the answer.
 func (s *Sharer) exchange(ctx context.Context, c call) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	sent := s.Now()
-	req := &peer.ShareRequest{Host: s.Self, DataCentre: s.DataCentre, Report: s.report(c.scope, c.host.Name, nil), Behind: c.behind, Strikes: s.strikes(), Limits: s.limits()}
+	req := &peer.ShareRequest{Host: s.Self, DataCentre: s.DataCentre, Report: s.report(c.scope, c.host.Name, nil), Behind: c.full, Strikes: s.strikes(), Limits: s.limits()}
 	if cfg := s.Follower.Configuration(); cfg != nil {
 		req.Version = cfg.Version
 	}
 	if c.scope == peer.Scope_SCOPE_HOST {
 		req.Upstreams = s.Balancer.Used(sent)
 	}
-	if c.changes || c.behind {
+	if c.changes || c.full {
 		at := s.Follower.Position()
 		req.Era, req.Revision = at.Era, at.Revision
 	}
 	resp, err := peer.NewShareProtobufClient("http://"+c.host.Address, s.HTTP).Exchange(ctx, req)
-	s.roles.answered(s.Now(), c.host, err == nil)
+	s.roles.noteResult(s.Now(), c.host, err == nil)
 	if err != nil {
 		s.Log.Debug().Err(err).Str("peer", c.host.Name).Msg("sharer: exchange failed")
 		return
 	}
-	s.takeReport(c.host.Name, c.host.DataCentre, resp.Report)
-	s.takeStrikes(c.host.Name, resp.Strikes)
-	s.takeLimits(c.host.Name, resp.Limits)
-	if err := s.takeState(sent, c, resp); err != nil {
-		s.Log.Warn().Err(err).Str("peer", c.host.Name).Msg("sharer: answer can't be read")
+	s.applyReport(c.host.Name, c.host.DataCentre, resp.Report)
+	s.applyStrikes(c.host.Name, resp.Strikes)
+	s.applyLimits(c.host.Name, resp.Limits)
+	if err := s.applyState(sent, c, resp); err != nil {
+		s.Log.Warn().Err(err).Str("peer", c.host.Name).Msg("sharer: invalid answer from peer")
 	}
 }
 
-// takeState takes in what a peer knows of the source.
-func (s *Sharer) takeState(sent time.Duration, c call, resp *peer.ShareResponse) error {
+// applyState applies what a peer knows of the source.
+func (s *Sharer) applyState(sent time.Duration, c call, resp *peer.ShareResponse) error {
 	cfg, err := decode[matcher.Configuration](resp.Configuration)
 	if err != nil {
 		return err
 	}
 	s.Follower.Heard(sent, millis(resp.AgeMs), resp.Version, cfg)
-	if !c.behind && !c.changes {
+	if !c.full && !c.changes {
 		return nil
 	}
 	update, err := decode[follower.Update](resp.Changes)
@@ -306,17 +310,18 @@
 	return nil
 }
 
-// Exchange implements peer.Share.
+// Exchange implements peer.Share: it applies what the calling host sent, and answers with the state
+// of this host.
 func (s *Sharer) Exchange(_ context.Context, req *peer.ShareRequest) (*peer.ShareResponse, error) {
-	s.takeReport(req.Host, req.DataCentre, req.Report)
-	s.takeStrikes(req.Host, req.Strikes)
-	s.takeLimits(req.Host, req.Limits)
-	if req.GetReport().GetScope() == peer.Scope_SCOPE_HOST && s.roles.asked(s.Now()) {
+	s.applyReport(req.Host, req.DataCentre, req.Report)
+	s.applyStrikes(req.Host, req.Strikes)
+	s.applyLimits(req.Host, req.Limits)
+	if req.GetReport().GetScope() == peer.Scope_SCOPE_HOST && s.roles.noteRelayCall(s.Now()) {
 		s.Follower.Wake()
 	}
 	state := s.Follower.State(follower.Position{Era: req.Era, Revision: req.Revision})
 	resp := &peer.ShareResponse{
-		Host: s.Self, Report: s.report(answering(req.GetReport().GetScope()), req.Host, req.Upstreams), Strikes: s.strikes(), Limits: s.limits(),
+		Host: s.Self, Report: s.report(answerScope(req.GetReport().GetScope()), req.Host, req.Upstreams), Strikes: s.strikes(), Limits: s.limits(),
 		Version: state.Version, Era: state.Era, Revision: state.Revision, AgeMs: state.Age.Milliseconds() + 1, ReadAgeMs: state.ReadAge.Milliseconds() + 1,
 	}
 	var err error
@@ -328,10 +333,10 @@
 	if !req.Behind {
 		return resp, nil
 	}
-	// Only a host that can't read the source is sent the configuration: a change of
-	// it went from each host to all others otherwise, and filled their links.
-	resp.Configuration = s.newer(req.Version)
-	if state.Update == nil && state.ReadAge < behind {
+	// Only a host that cannot read the source is sent the configuration. Otherwise each change of
+	// it would be sent from each host to all others and saturate their links.
+	resp.Configuration = s.newerConfiguration(req.Version)
+	if state.Update == nil && state.ReadAge < staleAge {
 		if resp.Upstreams, err = json.Marshal(s.Balancer.Listed()); err != nil {
 			return nil, err
 		}
@@ -339,21 +344,22 @@
 	return resp, nil
 }
 
-// newer is the configuration in force when it is above a version, else nil.
-func (s *Sharer) newer(version int64) []byte {
+// newerConfiguration returns the configuration in force as JSON if its version is above the given
+// one, else nil.
+func (s *Sharer) newerConfiguration(version int64) []byte {
 	cfg := s.Follower.Configuration()
 	if cfg == nil || cfg.Version <= version {
 		return nil
 	}
 	b, err := json.Marshal(cfg)
 	if err != nil {
-		s.Log.Error().Err(err).Msg("sharer: configuration can't be encoded")
+		s.Log.Error().Err(err).Msg("sharer: encoding the configuration failed")
 		return nil
 	}
 	return b
 }
 
-// decode reads JSON; nil for nothing.
+// decode parses JSON; it returns nil for empty input.
 func decode[T any](b []byte) (*T, error) {
 	if len(b) == 0 {
 		return nil, nil //nolint:nilnil // nothing was sent, which is no error
@@ -367,10 +373,10 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// strikes are the newest crashes that requests were in flight for.
+// strikes returns the strikes to send to a peer, the newest first.
 func (s *Sharer) strikes() []*peer.Strike {
 	now := time.Now()
-	list := s.Suspects.Newest(now, mostStrikes)
+	list := s.Suspects.Newest(now, maxStrikes)
 	out := make([]*peer.Strike, len(list))
 	for i, st := range list {
 		out[i] = &peer.Strike{Key: st.Key(), ExpiresInMs: st.Expires.Sub(now).Milliseconds(), Cleared: st.Cleared}
@@ -378,13 +384,13 @@
 	return out
 }
 
-// takeStrikes takes in the crashes that a peer told of.
-func (s *Sharer) takeStrikes(host string, list []*peer.Strike) {
+// applyStrikes adds the strikes sent by a peer.
+func (s *Sharer) applyStrikes(host string, list []*peer.Strike) {
 	now := time.Now()
 	for _, p := range list {
 		st, err := tracker.ParseStrike(p.Key, now.Add(millis(p.ExpiresInMs)), p.Cleared)
 		if err != nil {
-			s.Log.Warn().Err(err).Str("peer", host).Msg("sharer: strike can't be read")
+			s.Log.Warn().Err(err).Str("peer", host).Msg("sharer: invalid strike from peer, ignored")
 			continue
 		}
 		s.Suspects.Add(st)
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -21,17 +21,17 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// host follows a source of its own and exchanges with the others.
+// host follows a source of its own and exchanges state with the other hosts.
 type host struct {
 	source   *faker.Directory
 	follow   *follower.Follower
 	balancer *balancer.Balancer
 	suspects *tracker.Suspects
-	// asked is how often others asked for what this host read.
-	asked atomic.Int64
+	// fullRequests counts the calls of other hosts that asked for everything this host read.
+	fullRequests atomic.Int64
 }
 
-// counter counts what a host is asked for.
+// counter counts the full requests that a host receives.
 type counter struct {
 	peer.Share
 	*host
@@ -39,18 +39,19 @@
 
 func (c counter) Exchange(ctx context.Context, req *peer.ShareRequest) (*peer.ShareResponse, error) {
 	if req.Behind {
-		c.asked.Add(1)
+		c.fullRequests.Add(1)
 	}
 	return c.Share.Exchange(ctx, req)
 }
 
-// run joins hosts a, b and c in virtual time.
+// run connects hosts a, b and c in virtual time.
 func run(t *testing.T, f func(n *faker.Network, hosts map[string]*host)) {
 	t.Helper()
 	runHosts(t, []string{"a", "b", "c"}, f)
 }
 
-// runHosts joins hosts in virtual time.
+// runHosts connects hosts, each in a data centre of its own, in virtual time and calls f after two
+// seconds.
 func runHosts(t *testing.T, names []string, f func(n *faker.Network, hosts map[string]*host)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -87,9 +88,9 @@
 	})
 }
 
-// TestTurnedAway guards against a host that grows out of date while the store turns it
-// away and serves the others.
-func TestTurnedAway(t *testing.T) {
+// TestRefusedHostFollowsPeers checks that a host does not become stale while the store refuses it
+// and serves the others.
+func TestRefusedHostFollowsPeers(t *testing.T) {
 	for _, away := range []string{"a", "b", "c"} {
 		t.Run(away, func(t *testing.T) {
 			run(t, func(_ *faker.Network, hosts map[string]*host) {
@@ -113,16 +114,16 @@
 	}
 }
 
-// TestLinkOfOneTurnedAway guards against a link that is full of the same configurations,
-// sent by all hosts to one that the store turns away.
-func TestLinkOfOneTurnedAway(t *testing.T) {
+// TestRefusedHostTraffic checks that the link of a host that the store refuses is not saturated by
+// all others sending it the same configurations.
+func TestRefusedHostTraffic(t *testing.T) {
 	names := strings.Split("abcdefghijkl", "")
 	runHosts(t, names, func(_ *faker.Network, hosts map[string]*host) {
 		is := is.New(t)
 		hosts["l"].source.SetAway(true)
 		time.Sleep(3 * time.Second)
 		for _, h := range hosts {
-			h.asked.Store(0)
+			h.fullRequests.Store(0)
 		}
 		const length, rounds = 5 * time.Second, 25
 		version := int64(1)
@@ -135,7 +136,7 @@
 		}
 		asked := int64(0)
 		for _, h := range hosts {
-			asked += h.asked.Load()
+			asked += h.fullRequests.Load()
 		}
 		is.True(asked <= 2*(rounds+1))
 		time.Sleep(2 * time.Second)
@@ -144,8 +145,8 @@
 	})
 }
 
-// TestSourcesLost guards against a host that asks only peers out of its reach.
-func TestSourcesLost(t *testing.T) {
+// TestSourcesUnreachable checks that a host does not keep asking only peers that it cannot reach.
+func TestSourcesUnreachable(t *testing.T) {
 	runHosts(t, []string{"a", "b", "c", "d", "e", "f"}, func(n *faker.Network, hosts map[string]*host) {
 		is := is.New(t)
 		hosts["f"].source.SetAway(true)
@@ -160,8 +161,9 @@
 	})
 }
 
-// TestAllAway guards against hosts that pass for fresh by each other's word.
-func TestAllAway(t *testing.T) {
+// TestAllHostsRefused checks that hosts without access to the store do not confirm each other as up
+// to date.
+func TestAllHostsRefused(t *testing.T) {
 	run(t, func(_ *faker.Network, hosts map[string]*host) {
 		for _, h := range hosts {
 			h.source.SetAway(true)
@@ -169,14 +171,15 @@
 		time.Sleep(10 * time.Second)
 		for name, h := range hosts {
 			if h.follow.Age() < 9*time.Second {
-				t.Fatalf("%s believes to be %v old", name, h.follow.Age())
+				t.Fatalf("host %q reports a staleness of %v, want at least 9s", name, h.follow.Age())
 			}
 		}
 	})
 }
 
-// TestAlone guards against a host that is cut off from all and believes to be fresh.
-func TestAlone(t *testing.T) {
+// TestIsolatedHost checks that a host that reaches neither the store nor a peer does not look up to
+// date.
+func TestIsolatedHost(t *testing.T) {
 	run(t, func(n *faker.Network, hosts map[string]*host) {
 		hosts["c"].source.SetAway(true)
 		n.Cut("c", "a")
@@ -186,7 +189,9 @@
 	})
 }
 
-func TestInFlightHeard(t *testing.T) {
+// TestUsageReported checks that what a host observed of an upstream reaches the reports of the
+// other hosts.
+func TestUsageReported(t *testing.T) {
 	run(t, func(_ *faker.Network, hosts map[string]*host) {
 		is := is.New(t)
 		for _, h := range hosts {
@@ -202,7 +207,8 @@
 	})
 }
 
-// TestStrikes guards against a request that crashes one more upstream at each host.
+// TestStrikes checks that a request that crashes upstreams is quarantined at all hosts, so that it
+// does not crash one more upstream at each.
 func TestStrikes(t *testing.T) {
 	run(t, func(_ *faker.Network, hosts map[string]*host) {
 		is := is.New(t)
