--- a/tracker/events.go
+++ b/tracker/events.go
@@ -5,82 +5,82 @@
 	"time"
 )
 
-// Report takes in an upstream's load. It reports whether the upstream's state
-// or incarnation changed.
+// Report records the load that an upstream reports. It returns whether the upstream's state or
+// incarnation changed.
 func (t *Tracker) Report(now time.Time, name string, load Load) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil || load.Incarnation < u.incarnation {
 		return false
 	}
-	changed := u.renew(now, load.Incarnation)
+	changed := u.advanceIncarnation(now, load.Incarnation)
 	if load.Leaving && !u.leaving() {
-		u.leavingAt = u.incarnation
+		u.leavingIncarnation = u.incarnation
 		changed = true
 	}
-	seen := max(0, float64(load.Running+load.Queued)-u.ownSlow.at(now, float64(u.own)))
-	u.othersSlow.at(now, seen)
-	u.load, u.loadAt, u.reported = load, now, true
+	others := max(0, float64(load.Running+load.Queued)-u.inFlightAverage.update(now, float64(u.inFlight)))
+	u.othersAverage.update(now, others)
+	u.lastLoad, u.loadAt, u.hasLoad = load, now, true
 	return changed
 }
 
-// renew moves to a newer incarnation: a restart forgets what the old one was.
-func (u *upstream) renew(now time.Time, incarnation int64) bool {
+// advanceIncarnation moves to a newer incarnation. A restart resets the state of the old one.
+func (u *upstream) advanceIncarnation(now time.Time, incarnation int64) bool {
 	if incarnation <= u.incarnation {
 		return false
 	}
 	known := u.incarnation != 0
 	u.incarnation = incarnation
 	if !known {
-		if u.drained {
-			u.drained = false
-			u.leavingAt = incarnation
+		if u.leavePending {
+			u.leavePending = false
+			u.leavingIncarnation = incarnation
 		}
 		return true
 	}
-	u.state, u.since, u.drained, u.heardDown = StateUp, now, false, false
+	u.state, u.stateSince, u.leavePending, u.probersDown = StateUp, now, false, false
 	return true
 }
 
-// Good takes in a good probe: the upstream answers.
+// Good records a successful probe, and reports whether the state changed.
 func (t *Tracker) Good(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
-	if u == nil || u.state == StateUp && !u.heardDown {
+	u := t.upstreams[name]
+	if u == nil || u.state == StateUp && !u.probersDown {
 		return false
 	}
-	u.state, u.since, u.heardDown = StateUp, now, false
+	u.state, u.stateSince, u.probersDown = StateUp, now, false
 	return true
 }
 
-// Heard takes in what an upstream's probers say of it. That it is up again
-// counts for this host too, unless it failed here since.
+// Heard records what an upstream's probers report. When they report it up, it is no longer down for
+// this host either, but a suspicion from a failure seen by this host stays.
 func (t *Tracker) Heard(now time.Time, name string, incarnation int64, down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil || incarnation < u.incarnation {
 		return
 	}
-	u.renew(now, incarnation)
-	if down && !u.heardDown && u.state != StateDown {
+	u.advanceIncarnation(now, incarnation)
+	if down && !u.probersDown && u.state != StateDown {
 		u.downAt = now
 	}
-	u.heardDown = down
+	u.probersDown = down
 	if !down && u.state == StateDown {
 		u.state = StateUp
 	}
 }
 
-// Doubtful lists the upstreams that this host alone holds for down or suspect.
+// Doubtful lists the upstreams that are down or suspect for this host but not for their probers.
 func (t *Tracker) Doubtful() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
-	for name, u := range t.ups {
-		if !u.heardDown && (u.state == StateDown || u.state == StateSuspect) {
+	for name, u := range t.upstreams {
+		if !u.probersDown && (u.state == StateDown || u.state == StateSuspect) {
 			out = append(out, name)
 		}
 	}
@@ -88,36 +88,37 @@
 	return out
 }
 
-// Bad takes in a failure: down is set when a connection was refused or broke,
-// so that the upstream surely did not answer; else it is only suspect.
+// Bad records a failure, and reports whether the state changed. down is set if a connection was
+// refused or broke, so that the upstream certainly did not answer; else the upstream only becomes
+// suspect.
 func (t *Tracker) Bad(now time.Time, name string, down bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil {
 		return false
 	}
-	want := StateSuspect
+	state := StateSuspect
 	if down {
-		want = StateDown
+		state = StateDown
 	}
-	if u.state == StateDown && want == StateSuspect {
+	if u.state == StateDown && state == StateSuspect {
 		return false
 	}
-	changed := u.state != want
-	u.state, u.since = want, now
+	changed := u.state != state
+	u.state, u.stateSince = state, now
 	if down && changed {
 		u.downAt = now
 	}
 	return changed
 }
 
-// WentDown lists the upstreams that went down at about a time.
+// WentDown lists the upstreams that last went down at most within before or after at.
 func (t *Tracker) WentDown(at time.Time, within time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
-	for name, u := range t.ups {
+	for name, u := range t.upstreams {
 		if !u.downAt.IsZero() && u.downAt.Sub(at).Abs() <= within {
 			out = append(out, name)
 		}
@@ -125,17 +126,17 @@
 	return out
 }
 
-// Beside lists up to n upstreams that stand in the same data centre as one,
-// drawn at random.
+// Beside lists up to n upstreams, drawn at random, that are in the same data centre as the named
+// one and not down.
 func (t *Tracker) Beside(name string, n int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil {
 		return nil
 	}
 	var out []string
-	for other, o := range t.ups {
+	for other, o := range t.upstreams {
 		if other != name && o.cfg.DataCentre == u.cfg.DataCentre && o.state != StateDown {
 			out = append(out, other)
 		}
@@ -145,66 +146,66 @@
 	return out[:min(n, len(out))]
 }
 
-// Leave marks an upstream as leaving in an incarnation; 0 means the one known
-// now. Leaving wins over everything until a newer incarnation.
+// Leave marks an upstream as leaving in an incarnation; 0 means the current one. A leaving upstream
+// gets no work, whatever else is reported, until it has a newer incarnation. The result is whether
+// it became leaving.
 func (t *Tracker) Leave(name string, incarnation int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil {
 		return false
 	}
 	was := u.leaving()
 	switch {
 	case incarnation != 0:
-		u.leavingAt = max(u.leavingAt, incarnation)
+		u.leavingIncarnation = max(u.leavingIncarnation, incarnation)
 	case u.incarnation != 0:
-		u.leavingAt = u.incarnation
+		u.leavingIncarnation = u.incarnation
 	default:
-		u.drained = true
+		u.leavePending = true
 	}
 	return !was && u.leaving()
 }
 
-// Incarnation is the upstream's last known one; 0 when it is not known.
+// Incarnation returns the last known incarnation of the upstream; 0 if none is known.
 func (t *Tracker) Incarnation(name string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u := t.ups[name]; u != nil {
+	if u := t.upstreams[name]; u != nil {
 		return u.incarnation
 	}
 	return 0
 }
 
-// StateOf returns an upstream's state; unknown upstreams are down.
+// StateOf returns the state of an upstream; an unknown upstream is down.
 func (t *Tracker) StateOf(now time.Time, name string) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u := t.ups[name]; u != nil {
+	if u := t.upstreams[name]; u != nil {
 		return u.stateAt(now)
 	}
 	return StateDown
 }
 
-// Struck returns the fingerprints that a crash of an upstream is held against:
-// those this host has in flight there. A rack or a data centre was lost, and
-// all upstreams of a route with it; each of them counted as a crash, and
-// requests that had done nothing were refused for good. So only the first crash
-// on a route is held against its request: what crashes upstreams does so again
-// on the next route, and what was merely hit does not.
+// Struck returns the fingerprints against which the crash of an upstream counts: those of the
+// requests that this host has in flight there. Only the first crash on a route counts against a
+// request. A rack or a data centre can fail with all upstreams of a route, and if each of them
+// counted, innocent requests would be refused for good. A request that causes crashes does so again
+// on its next route, and an innocent one does not.
 func (t *Tracker) Struck(name string) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil {
 		return nil
 	}
 	var out []uint64
 	for id, f := range u.requests {
-		if f.struck {
+		if f.hasStrike {
 			continue
 		}
-		t.strike(id)
+		t.markStruck(id)
 		if !slices.Contains(out, f.fingerprint) {
 			out = append(out, f.fingerprint)
 		}
@@ -213,48 +214,47 @@
 	return out
 }
 
-// strike marks a request on all upstreams of its route.
-func (t *Tracker) strike(requestID string) {
-	for _, u := range t.ups {
+// markStruck marks a request as struck on all upstreams of its route.
+func (t *Tracker) markStruck(requestID string) {
+	for _, u := range t.upstreams {
 		if f, ok := u.requests[requestID]; ok {
-			f.struck = true
+			f.hasStrike = true
 			u.requests[requestID] = f
 		}
 	}
 }
 
-// AcquireOne counts a request of a plain service in flight on the least
-// utilised of two drawn instances, and returns its name; empty means none has
-// room.
+// AcquireOne draws two instances of a plain service, counts a request as in flight on the less
+// loaded one and returns its name. It returns "" if none has room.
 func (t *Tracker) AcquireOne(now time.Time, names []string, r Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var open []*upstream
+	var available []*upstream
 	for _, n := range names {
-		u := t.ups[n]
-		if u != nil && u.stateAt(now) == StateUp && !slices.Contains(r.Avoid, n) && u.own < u.concurrency() {
-			open = append(open, u)
+		u := t.upstreams[n]
+		if u != nil && u.stateAt(now) == StateUp && !slices.Contains(r.Avoid, n) && u.inFlight < u.concurrency() {
+			available = append(available, u)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return ""
 	}
-	a, b := open[t.Rand.IntN(len(open))], open[t.Rand.IntN(len(open))]
-	sharers := 1.0
+	a, b := available[t.Rand.IntN(len(available))], available[t.Rand.IntN(len(available))]
+	hosts := 1.0
 	if t.Sharers != nil {
-		sharers = float64(t.Sharers())
+		hosts = float64(t.Sharers())
 	}
-	if b.sequences(now, sharers) < a.sequences(now, sharers) {
+	if b.sequences(now, hosts) < a.sequences(now, hosts) {
 		a = b
 	}
-	t.begin(now, a, r)
+	t.addInFlight(now, a, r)
 	return a.cfg.Name
 }
 
 func (u *upstream) concurrency() int {
-	const unset = 64
+	const defaultConcurrency = 64
 	if u.cfg.Concurrency > 0 {
 		return u.cfg.Concurrency
 	}
-	return unset
+	return defaultConcurrency
 }
--- a/tracker/pace.go
+++ b/tracker/pace.go
@@ -6,84 +6,86 @@
 	"time"
 )
 
-// average is an exponentially smoothed value.
+// average is an exponentially smoothed value. The zero value takes the first value as it is.
 type average struct {
 	value float64
 	last  time.Time
 }
 
-// smoothing is the time over which averages forget.
-const smoothing = time.Second
+// smoothingTime is the time constant of averages.
+const smoothingTime = time.Second
 
-// at moves the average towards a value that held since the last call, and
-// returns it.
-func (a *average) at(now time.Time, v float64) float64 {
+// update moves the average towards v, which held since the last call, and returns it.
+func (a *average) update(now time.Time, v float64) float64 {
 	if a.last.IsZero() {
 		a.value, a.last = v, now
 		return v
 	}
-	w := 1 - math.Exp(-now.Sub(a.last).Seconds()/smoothing.Seconds())
+	w := 1 - math.Exp(-now.Sub(a.last).Seconds()/smoothingTime.Seconds())
 	a.value += w * (v - a.value)
 	a.last = now
 	return a.value
 }
 
 const (
-	// lateShare is the part of tokens that may come later than wanted.
-	lateShare = 0.05
-	// paceLowest and paceHighest bound the factor.
-	paceLowest  = 0.2
-	paceHighest = 1.25
-	// paceDown and paceUp are its steps, one a paceEvery.
-	paceDown  = 0.96
-	paceUp    = 1.01
-	paceEvery = 250 * time.Millisecond
-	// paceSamples is the fewest tokens that a step is drawn from.
-	paceSamples = 50
+	// maxLateShare is the fraction of tokens that may be late.
+	maxLateShare = 0.05
+	// minPaceFactor and maxPaceFactor bound the factor.
+	minPaceFactor = 0.2
+	maxPaceFactor = 1.25
+	// paceDecrease and paceIncrease multiply the factor, at most once per paceInterval.
+	paceDecrease = 0.96
+	paceIncrease = 1.01
+	paceInterval = 250 * time.Millisecond
+	// minPaceSamples is the smallest number of tokens on which a step is based.
+	minPaceSamples = 50
 )
 
-// pace lowers how many sequences a pipeline's upstreams are given while more
-// tokens than lateShare come late, and raises it again when fewer do. What
-// engines are declared to run leaves out how long prompts are and how well
-// their cache does; this closes the loop over it.
+// pace reduces the number of sequences given to a pipeline's upstreams while more than maxLateShare
+// of the tokens are late, and raises it again when fewer are. The declared capacity of the engines
+// does not cover the length of prompts and the hit rate of caches; this control loop corrects for
+// both.
 type pace struct {
-	// gap is the longest wanted time between tokens.
-	gap time.Duration
+	// targetGap is the longest desired time between tokens.
+	targetGap time.Duration
 
-	all, late atomic.Int64
-	bits      atomic.Uint64
-	next      atomic.Int64
+	// tokens and lateTokens count since the last step.
+	tokens, lateTokens atomic.Int64
+	// factorBits holds the bits of the factor as a float64.
+	factorBits atomic.Uint64
+	// nextStep is the earliest time of the next step in Unix nanoseconds.
+	nextStep atomic.Int64
 }
 
 func newPace(gapMs float64) *pace {
-	p := &pace{gap: ms(gapMs)}
-	p.bits.Store(math.Float64bits(1))
+	p := &pace{targetGap: ms(gapMs)}
+	p.factorBits.Store(math.Float64bits(1))
 	return p
 }
 
-func (p *pace) factor() float64 { return math.Float64frombits(p.bits.Load()) }
+func (p *pace) factor() float64 { return math.Float64frombits(p.factorBits.Load()) }
 
-// observe takes in the time between two tokens.
+// observe records the time between two tokens and steps the factor when a step is due.
 func (p *pace) observe(now time.Time, d time.Duration) {
-	p.all.Add(1)
-	if d > p.gap {
-		p.late.Add(1)
+	p.tokens.Add(1)
+	if d > p.targetGap {
+		p.lateTokens.Add(1)
 	}
-	due := p.next.Load()
-	if now.UnixNano() < due || p.all.Load() < paceSamples || !p.next.CompareAndSwap(due, now.Add(paceEvery).UnixNano()) {
+	due := p.nextStep.Load()
+	if now.UnixNano() < due || p.tokens.Load() < minPaceSamples || !p.nextStep.CompareAndSwap(due, now.Add(paceInterval).UnixNano()) {
 		return
 	}
-	all, late := p.all.Swap(0), p.late.Swap(0)
+	all, late := p.tokens.Swap(0), p.lateTokens.Swap(0)
 	f := p.factor()
-	if float64(late) > lateShare*float64(all) {
-		f *= paceDown
+	if float64(late) > maxLateShare*float64(all) {
+		f *= paceDecrease
 	} else {
-		f *= paceUp
+		f *= paceIncrease
 	}
-	p.bits.Store(math.Float64bits(min(max(f, paceLowest), paceHighest)))
+	p.factorBits.Store(math.Float64bits(min(max(f, minPaceFactor), maxPaceFactor)))
 }
 
-// Observe takes in the time between two tokens of a pipeline's stream.
+// Observe records the time between two tokens of a pipeline's stream.
 func (t *Tracker) Observe(now time.Time, name string, d time.Duration) {
 	t.mu.Lock()
 	p := t.pipelines[name]
--- a/tracker/suspects.go
+++ b/tracker/suspects.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// strikeFor is how long a crash is held against a request.
-	strikeFor = 10 * time.Minute
-	// doubtAt is the number of crashes that a request is refused for when no
-	// other one was in flight at all of them.
-	doubtAt = 2
-	// sureAt is the number it is refused for in any case.
-	sureAt = 3
+	// strikeTTL is how long a crash counts against a request.
+	strikeTTL = 10 * time.Minute
+	// soleStrikeThreshold is the number of crashes at which a request is refused if no other
+	// request was in flight at all of them.
+	soleStrikeThreshold = 2
+	// strikeThreshold is the number of crashes at which a request is refused in any case.
+	strikeThreshold = 3
 )
 
-// Strike is a crash that a request was in flight for.
+// Strike records that a request was in flight on an upstream when it crashed.
 type Strike struct {
 	Fingerprint uint64
 	Upstream    string
 	Incarnation int64
-	// Expires is when it is forgotten.
+	// Expires is when the strike stops counting.
 	Expires time.Time
-	// Cleared holds when the request has since been answered whole, which
-	// what crashes upstreams never is.
+	// Cleared is set if the request was answered completely since, which never happens to a request
+	// that crashes upstreams.
 	Cleared bool
 }
 
-// NewStrike is a strike that lapses in due time.
+// NewStrike returns a strike that expires after strikeTTL.
 func NewStrike(now time.Time, fingerprint uint64, upstream string, incarnation int64) Strike {
-	return Strike{Fingerprint: fingerprint, Upstream: upstream, Incarnation: incarnation, Expires: now.Add(strikeFor)}
+	return Strike{Fingerprint: fingerprint, Upstream: upstream, Incarnation: incarnation, Expires: now.Add(strikeTTL)}
 }
 
-// Key names the strike among hosts.
+// Key identifies the strike in exchanges between hosts.
 func (s Strike) Key() string {
 	return fmt.Sprintf("%016x/%s@%d", s.Fingerprint, s.Upstream, s.Incarnation)
 }
 
-// ParseStrike reads what Key made.
+// ParseStrike parses a strike from the result of Key.
 func ParseStrike(key string, expires time.Time, cleared bool) (Strike, error) {
 	s := Strike{Expires: expires, Cleared: cleared}
 	fp, rest, ok := strings.Cut(key, "/")
@@ -61,33 +61,33 @@
 	return s, nil
 }
 
-// Suspects keeps the strikes of each fingerprint. Safe for concurrent use.
+// Suspects keeps the strikes of each fingerprint. It is safe for concurrent use.
 type Suspects struct {
-	// WentDown lists the upstreams that went down at about a time; set before
-	// use. nil means none but the struck ones.
+	// WentDown lists the upstreams that went down at most within before or after at; set before
+	// use. If it is nil, all strikes count.
 	WentDown func(at time.Time, within time.Duration) []string
 
 	mu      sync.Mutex
 	strikes map[uint64]map[string]Strike
 }
 
-// Add takes in a strike, the clearing of one included.
+// Add adds a strike or its cleared form. A cleared strike stays cleared.
 func (s *Suspects) Add(st Strike) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.strikes == nil {
 		s.strikes = make(map[uint64]map[string]Strike)
 	}
-	of := s.strikes[st.Fingerprint]
-	if of == nil {
-		of = make(map[string]Strike)
-		s.strikes[st.Fingerprint] = of
+	byKey := s.strikes[st.Fingerprint]
+	if byKey == nil {
+		byKey = make(map[string]Strike)
+		s.strikes[st.Fingerprint] = byKey
 	}
-	old, ok := of[st.Key()]
+	old, ok := byKey[st.Key()]
 	if ok && old.Cleared {
 		return
 	}
-	of[st.Key()] = st
+	byKey[st.Key()] = st
 }
 
 // Of returns the strikes that count against a fingerprint now.
@@ -110,14 +110,14 @@
 	return out
 }
 
-// Newest returns the strikes that expire last, a number of them at most, those
-// that were cleared included: other hosts have to hear of these too.
-func (s *Suspects) Newest(now time.Time, most int) []Strike {
+// Newest returns at most limit strikes, those that expire last first. Cleared ones are included,
+// because other hosts must learn of them as well.
+func (s *Suspects) Newest(now time.Time, limit int) []Strike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Strike
-	for _, of := range s.strikes {
-		for _, st := range of {
+	for _, byKey := range s.strikes {
+		for _, st := range byKey {
 			if st.Expires.After(now) {
 				out = append(out, st)
 			}
@@ -126,10 +126,10 @@
 	slices.SortFunc(out, func(a, b Strike) int {
 		return cmp.Or(b.Expires.Compare(a.Expires), strings.Compare(a.Key(), b.Key()))
 	})
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
-// Clear notes that a request was answered whole: nothing counts against it now.
+// Clear records that a request was answered completely, so that none of its strikes count.
 func (s *Suspects) Clear(now time.Time, fingerprint uint64) {
 	for _, st := range s.Of(now, fingerprint) {
 		st.Cleared = true
@@ -137,10 +137,10 @@
 	}
 }
 
-// Quarantined reports whether a fingerprint is to be refused, and until when.
+// Quarantined reports whether requests with a fingerprint are refused now, and for how long.
 func (s *Suspects) Quarantined(now time.Time, fingerprint uint64) (time.Duration, bool) {
-	strikes := s.counted(s.Of(now, fingerprint))
-	if len(strikes) < doubtAt || len(strikes) < sureAt && s.shared(now, fingerprint, strikes) {
+	strikes := s.attributable(s.Of(now, fingerprint))
+	if len(strikes) < soleStrikeThreshold || len(strikes) < strikeThreshold && s.hasOtherCause(now, fingerprint, strikes) {
 		return 0, false
 	}
 	var last time.Time
@@ -152,62 +152,62 @@
 	return last.Sub(now), true
 }
 
-// counted leaves out strikes that befell the request. A rack or a data centre
-// was lost, and requests in flight there were moved to engines that fell a
-// moment later; two crashes made them look guilty. What crashes engines is in
-// flight at each that falls, so when others fall beside, it is not the cause.
-func (s *Suspects) counted(strikes []Strike) []Strike {
+// attributable leaves out strikes that the request probably did not cause. When a rack or a data
+// centre fails, requests in flight there move to engines that fail a moment later, and two crashes
+// would make them look like the cause. A request that crashes engines is in flight on each engine
+// that fails, so if others fail at the same time it is not the cause.
+func (s *Suspects) attributable(strikes []Strike) []Strike {
 	const (
-		window = 2 * time.Second
-		others = 2
+		window    = 2 * time.Second
+		minOthers = 2
 	)
 	if s.WentDown == nil {
 		return strikes
 	}
 	return slices.DeleteFunc(strikes, func(st Strike) bool {
 		n := 0
-		for _, name := range s.WentDown(st.Expires.Add(-strikeFor), window) {
+		for _, name := range s.WentDown(st.Expires.Add(-strikeTTL), window) {
 			if !slices.ContainsFunc(strikes, func(o Strike) bool { return o.Upstream == name }) {
 				n++
 			}
 		}
-		return n >= others
+		return n >= minOthers
 	})
 }
 
-// Doubtful reports whether a fingerprint has enough strikes to be refused, so
-// that news of others which share them is worth a moment's wait.
+// Doubtful reports whether a fingerprint has enough strikes to be refused, so that it is worth
+// waiting briefly for other hosts to report fingerprints with the same strikes.
 func (s *Suspects) Doubtful(now time.Time, fingerprint uint64) bool {
-	return len(s.Of(now, fingerprint)) >= doubtAt
+	return len(s.Of(now, fingerprint)) >= soleStrikeThreshold
 }
 
-// shared reports whether another fingerprint was in flight at the same crashes.
-// A request that crashes engines was retried and met an innocent one, struck by
-// the same first crash and retried by another host, on its second engine: both
-// had two strikes, and both were refused. While two explain the same crashes,
-// neither is refused; they part ways, and the innocent one's answer clears it.
-func (s *Suspects) shared(now time.Time, fingerprint uint64, strikes []Strike) bool {
+// hasOtherCause reports whether another fingerprint was in flight at the same crashes. After the
+// first crash, the retry of a request that crashes engines may meet the retry of an innocent one
+// from another host on a second engine, so that both have two strikes. While two fingerprints
+// explain the same crashes, neither is refused; their routes then differ, and the answer to the
+// innocent one clears it.
+func (s *Suspects) hasOtherCause(now time.Time, fingerprint uint64, strikes []Strike) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for other, of := range s.strikes {
-		if other != fingerprint && holdsAll(now, of, strikes) {
+	for other, byKey := range s.strikes {
+		if other != fingerprint && containsAll(now, byKey, strikes) {
 			return true
 		}
 	}
 	return false
 }
 
-func holdsAll(now time.Time, of map[string]Strike, strikes []Strike) bool {
+func containsAll(now time.Time, byKey map[string]Strike, strikes []Strike) bool {
 	for _, st := range strikes {
-		if !holds(now, of, st) {
+		if !contains(now, byKey, st) {
 			return false
 		}
 	}
 	return true
 }
 
-func holds(now time.Time, of map[string]Strike, want Strike) bool {
-	for _, st := range of {
+func contains(now time.Time, byKey map[string]Strike, want Strike) bool {
+	for _, st := range byKey {
 		if st.Upstream == want.Upstream && st.Incarnation == want.Incarnation && !st.Cleared && st.Expires.After(now) {
 			return true
 		}
@@ -215,17 +215,17 @@
 	return false
 }
 
-// Sweep forgets what has lapsed.
+// Sweep deletes expired strikes.
 func (s *Suspects) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for fp, of := range s.strikes {
-		for key, st := range of {
+	for fp, byKey := range s.strikes {
+		for key, st := range byKey {
 			if !st.Expires.After(now) {
-				delete(of, key)
+				delete(byKey, key)
 			}
 		}
-		if len(of) == 0 {
+		if len(byKey) == 0 {
 			delete(s.strikes, fp)
 		}
 	}
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -1,9 +1,9 @@
-// Package tracker knows the upstreams: which are up, leaving or down, how full
-// each is, and which requests are in flight where.
+// Package tracker holds the state of the upstreams: which are up, suspect, leaving or down, how
+// loaded each is, and which requests are in flight on it.
 //
-// It joins three sources and trusts none alone: the platform's list (lags),
-// load reports and probes (lag), and what this host's own requests just saw.
-// It does no I/O and reads no clock; callers pass the time in.
+// It combines three sources, none of which is reliable alone: the platform's list (delayed), load
+// reports and probes (delayed), and what this host's own requests have just observed. It does no
+// I/O and reads no clock; callers pass the time.
 package tracker
 
 import (
@@ -22,134 +22,135 @@
 
 //go:generate enumer -type State -trimprefix State -transform title-lower -json -output state_gen.go
 
-// State is whether an upstream gets new work, and why not.
+// State says whether an upstream gets new work, and if not, why.
 type State int
 
 // The states of an upstream.
 const (
-	// StateUp gets new work.
+	// StateUp means that the upstream gets new work.
 	StateUp State = iota
-	// StateSuspect failed a request; it gets new work again after a good probe
-	// or when suspectFor is over.
+	// StateSuspect means that a request failed on the upstream. It gets new work again after a
+	// successful probe or after suspectTimeout.
 	StateSuspect
-	// StateDown failed a probe or a connection; it gets new work again after a
-	// good probe.
+	// StateDown means that a probe or a connection failed. The upstream gets new work again after a
+	// successful probe.
 	StateDown
-	// StateLeaving gets none until it has a newer incarnation.
+	// StateLeaving means that the upstream gets no new work until it reports a newer incarnation.
 	StateLeaving
 )
 
 const (
-	// suspectFor is how long a suspect stays out without a probe.
-	suspectFor = 3 * time.Second
-	// reportFresh is the age up to which a report counts in full.
-	reportFresh = 2 * time.Second
-	// reportStale is the age from which a report counts no more.
-	reportStale = 10 * time.Second
+	// suspectTimeout is how long a suspect upstream gets no work if no probe succeeds before.
+	suspectTimeout = 3 * time.Second
+	// freshReportAge is the age up to which a load report counts in full.
+	freshReportAge = 2 * time.Second
+	// maxReportAge is the age from which a load report no longer counts.
+	maxReportAge = 10 * time.Second
 	// subsetSize is how many upstreams of a pipeline a host chooses among.
 	subsetSize = 64
-	// borrow is the part of what other hosts seem to leave free that a host may
-	// use beyond its even share. They can't see each other, so 1 would let all
-	// of them take the same place.
-	borrow = 0.5
+	// borrowedShare is the fraction of the capacity apparently left free by other hosts that a host
+	// may use beyond its even share. Hosts cannot see each other, so with 1 all of them would take
+	// the same free slot.
+	borrowedShare = 0.5
 )
 
-// Load is what an upstream reports of itself.
+// Load is what an upstream reports about itself.
 type Load struct {
-	// Incarnation is raised at each start of the upstream.
+	// Incarnation increases with each start of the upstream.
 	Incarnation int64 `json:"incarnation"`
-	// Running and Queued are sequences or requests it holds.
+	// Running and Queued count the sequences or requests on the upstream.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Leaving tells that it takes no new work.
+	// Leaving is set when the upstream takes no new work.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// upstream is what is known of one.
+// upstream is the configuration and the observed state of one upstream.
 type upstream struct {
-	cfg  builder.Upstream
-	kind builder.Accelerator
+	cfg         builder.Upstream
+	accelerator builder.Accelerator
 
 	incarnation int64
 	state       State
-	since       time.Time
-	// downAt is when it last went down.
+	stateSince  time.Time
+	// downAt is when the upstream last went down.
 	downAt time.Time
-	// heardDown is set while its probers say that it is down.
-	heardDown bool
-	// leavingAt is the incarnation that is leaving; 0 is none.
-	leavingAt int64
-	// drained is set when it is leaving and its incarnation isn't known yet.
-	drained bool
-
-	// own is this host's sequences in flight.
-	own      int
-	requests map[string]flight
-	// load is the last report.
-	load     Load
+	// probersDown is set while the probers of the upstream report it as down.
+	probersDown bool
+	// leavingIncarnation is the incarnation that is leaving; 0 means none.
+	leavingIncarnation int64
+	// leavePending is set if the upstream is leaving and its incarnation is not known yet.
+	leavePending bool
+
+	// inFlight counts the sequences that this host has in flight on the upstream.
+	inFlight int
+	requests map[string]inFlightRequest
+	// lastLoad is the last report, loadAt when it came; both are valid if hasLoad is set.
+	lastLoad Load
 	loadAt   time.Time
-	reported bool
-	// ownSlow is own, othersSlow what reports held beside it, both smoothed.
-	ownSlow, othersSlow average
+	hasLoad  bool
+	// inFlightAverage is inFlight smoothed over time, othersAverage the smoothed load of other
+	// hosts according to the reports.
+	inFlightAverage, othersAverage average
 }
 
-// flight is a request in flight on an upstream.
-type flight struct {
+// inFlightRequest is a request in flight on an upstream.
+type inFlightRequest struct {
 	fingerprint uint64
 	suspect     bool
-	// struck is set once a crash on the request's route was held against it.
-	struck bool
+	// hasStrike is set once a crash on the request's route was counted as a strike against it.
+	hasStrike bool
 }
 
-// Tracker is safe for concurrent use.
+// Tracker keeps the state of all upstreams and picks routes over them. It is safe for concurrent
+// use. The exported fields are set before use.
 type Tracker struct {
-	// Policy chooses routes; set before use.
+	// Policy chooses routes.
 	Policy picker.Policy
 	// Rand is used under the tracker's lock.
 	Rand *rand.Rand
-	// Host is this host's name; it seeds which upstreams it chooses among.
+	// Host is the name of this host; it determines the subset of upstreams the host chooses among.
 	Host string
-	// Sharers returns how many hosts send work to the same upstreams.
+	// Sharers returns how many hosts send work to the same upstreams; nil means one.
 	Sharers func() int
-	// Checker is told of work given to an upstream that is leaving; nil asserts
-	// nothing.
+	// Checker is told when work is given to a leaving upstream; nil means no check.
 	Checker *checker.Checker
-	// Unlimited gives every upstream as many slots as anyone wants; for
-	// measuring what admission is worth.
+	// Unlimited lifts the limit on slots, so that the effect of admission control can be measured.
 	Unlimited bool
 
-	mu        sync.Mutex
-	ups       map[string]*upstream
-	pipelines map[string]*pipeline
-	links     picker.Links
-	limits    []picker.LinkLimit
-	scratch   []picker.Candidate
+	mu           sync.Mutex
+	upstreams    map[string]*upstream
+	pipelines    map[string]*pipeline
+	links        picker.Links
+	limits       []picker.LinkLimit
+	candidateBuf []picker.Candidate
 }
 
+// pipeline is the configuration of a pipeline and the upstreams that serve it.
 type pipeline struct {
 	cfg    builder.Pipeline
 	model  builder.Model
 	subset []*upstream
 	all    []*upstream
-	// share is the part of all hosts that choose among one upstream.
+	// share is the fraction of all hosts that choose any one upstream into their subset.
 	share float64
 	pace  *pace
 }
 
-// Configure takes in a configuration. What is known of upstreams that stay is
+// Configure applies a configuration. The state of upstreams that keep their name and address is
 // kept.
 func (t *Tracker) Configure(cfg *builder.Configuration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kinds := make(map[string]builder.Accelerator)
+	accelerators := make(map[string]builder.Accelerator)
 	for _, k := range cfg.Accelerators {
-		kinds[k.Name] = k
+		accelerators[k.Name] = k
 	}
 	models := make(map[string]builder.Model)
 	for _, m := range cfg.Models {
 		models[m.Name] = m
 	}
-	t.configureUpstreams(cfg, kinds)
+	t.configureUpstreams(cfg, accelerators)
 	pipelines := make(map[string]*pipeline)
 	for _, p := range cfg.Pipelines {
 		pipelines[p.Name] = t.newPipeline(p, models[p.Model])
@@ -163,17 +164,17 @@
 	}
 }
 
-func (t *Tracker) configureUpstreams(cfg *builder.Configuration, kinds map[string]builder.Accelerator) {
-	old := t.ups
-	t.ups = make(map[string]*upstream, len(cfg.Upstreams))
+func (t *Tracker) configureUpstreams(cfg *builder.Configuration, accelerators map[string]builder.Accelerator) {
+	old := t.upstreams
+	t.upstreams = make(map[string]*upstream, len(cfg.Upstreams))
 	for _, u := range cfg.Upstreams {
 		kept := old[u.Name]
 		if kept == nil || kept.cfg.Address != u.Address {
-			kept = &upstream{requests: make(map[string]flight)}
+			kept = &upstream{requests: make(map[string]inFlightRequest)}
 		}
 		kept.cfg = u
-		kept.kind = kinds[u.Accelerator]
-		t.ups[u.Name] = kept
+		kept.accelerator = accelerators[u.Accelerator]
+		t.upstreams[u.Name] = kept
 	}
 }
 
@@ -183,11 +184,11 @@
 		p.pace = old.pace
 	}
 	for _, name := range cfg.Upstreams {
-		if u := t.ups[name]; u != nil {
+		if u := t.upstreams[name]; u != nil {
 			p.all = append(p.all, u)
 		}
 	}
-	p.subset = t.choose(p.all)
+	p.subset = t.selectSubset(p.all)
 	p.share = 1
 	if len(p.all) > 0 {
 		p.share = float64(len(p.subset)) / float64(len(p.all))
@@ -195,10 +196,10 @@
 	return p
 }
 
-// choose limits the upstreams a host looks at, so that one choice costs the
-// same however large the fleet is. From each range of layers it takes the same
-// number by rendezvous hashing on the host's name, which spreads hosts evenly.
-func (t *Tracker) choose(all []*upstream) []*upstream {
+// selectSubset limits the upstreams among which a host chooses, so that the cost of a choice does
+// not grow with the fleet. It takes the same number of upstreams from each layer range by
+// rendezvous hashing on the host's name, which spreads the hosts evenly.
+func (t *Tracker) selectSubset(all []*upstream) []*upstream {
 	if len(all) <= subsetSize {
 		return all
 	}
@@ -217,7 +218,7 @@
 	for _, s := range order {
 		group := groups[s]
 		slices.SortFunc(group, func(a, b *upstream) int {
-			if t.weight(a) > t.weight(b) {
+			if t.rendezvousWeight(a) > t.rendezvousWeight(b) {
 				return -1
 			}
 			return 1
@@ -227,29 +228,28 @@
 	return out
 }
 
-func (t *Tracker) weight(u *upstream) uint64 {
+func (t *Tracker) rendezvousWeight(u *upstream) uint64 {
 	return xxhash.Sum64String(t.Host + "\x00" + u.cfg.Name)
 }
 
-// Request is what a route is asked for.
+// Request is a request for which a route is picked.
 type Request struct {
 	ID       string
 	Pipeline string
 	// From is the data centre of this host.
 	From string
-	// Fingerprint is equal for equal requests of a workspace.
+	// Fingerprint is the same for equal requests of a workspace.
 	Fingerprint uint64
-	// Prefix is equal for prompts that start alike; 0 means none.
+	// Prefix is the same for prompts with the same beginning; 0 means none.
 	Prefix uint64
-	// Suspect keeps the request away from other suspects.
+	// Suspect keeps the request away from other suspect requests.
 	Suspect bool
-	// Avoid are upstreams it must not go to.
+	// Avoid lists upstreams that the route must not use.
 	Avoid []string
 }
 
-// Acquire picks a route and counts the request in flight on it. It returns nil
-// when no route has room. Both happen under one lock, so requests that come at
-// the same time see each other.
+// Acquire picks a route and counts the request as in flight on it. It returns nil if no route has
+// room. Both happen under one lock, so that concurrent requests see each other.
 func (t *Tracker) Acquire(now time.Time, r Request) picker.Route {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -261,28 +261,29 @@
 	need := picker.Need{Layers: p.model.Layers, From: r.From}
 	route := t.Policy.Pick(cands, need, t.links, t.Rand)
 	for _, h := range route {
-		u := t.ups[h.Upstream]
-		t.Checker.Assert(!u.leaving(), checker.InvariantLeaving, r.ID, "%s is leaving and was chosen", h.Upstream)
-		t.begin(now, u, r)
+		u := t.upstreams[h.Upstream]
+		t.Checker.Assert(!u.leaving(), checker.InvariantLeaving, r.ID, "upstream %q is leaving but was chosen", h.Upstream)
+		t.addInFlight(now, u, r)
 	}
 	return route
 }
 
-func (t *Tracker) begin(now time.Time, u *upstream, r Request) {
+func (t *Tracker) addInFlight(now time.Time, u *upstream, r Request) {
 	if _, ok := u.requests[r.ID]; ok {
 		return
 	}
-	u.ownSlow.at(now, float64(u.own))
-	u.own++
-	u.requests[r.ID] = flight{fingerprint: r.Fingerprint, suspect: r.Suspect}
+	u.inFlightAverage.update(now, float64(u.inFlight))
+	u.inFlight++
+	u.requests[r.ID] = inFlightRequest{fingerprint: r.Fingerprint, suspect: r.Suspect}
 }
 
-// Release ends what Acquire or AcquireOne began for a request.
+// Release ends what Acquire or AcquireOne started for a request. A second call for the same request
+// has no effect.
 func (t *Tracker) Release(now time.Time, upstreams []string, requestID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range upstreams {
-		u := t.ups[name]
+		u := t.upstreams[name]
 		if u == nil {
 			continue
 		}
@@ -290,42 +291,43 @@
 			continue
 		}
 		delete(u.requests, requestID)
-		u.ownSlow.at(now, float64(u.own))
-		u.own--
+		u.inFlightAverage.update(now, float64(u.inFlight))
+		u.inFlight--
 	}
 }
 
-// candidates is the pipeline's upstreams as the policy sees them; valid until
-// the next call.
+// candidates returns the pipeline's upstreams for the policy. The result is valid until the next
+// call.
 func (t *Tracker) candidates(now time.Time, p *pipeline, r Request) []picker.Candidate {
-	t.scratch = t.scratch[:0]
-	sharers := t.sharers(p)
+	t.candidateBuf = t.candidateBuf[:0]
+	hosts := t.hostCount(p)
 	for _, u := range p.subset {
-		c := t.candidate(now, p, u, sharers)
-		if slices.Contains(r.Avoid, u.cfg.Name) || r.Suspect && t.holdsSuspect(u, r.Fingerprint) {
+		c := t.candidate(now, p, u, hosts)
+		if slices.Contains(r.Avoid, u.cfg.Name) || r.Suspect && t.hasOtherSuspect(u, r.Fingerprint) {
 			c.Excluded = true
 		}
 		if r.Suspect {
-			c.Bias = scatter(r.Fingerprint, u.cfg.Name)
+			c.Bias = suspectBias(r.Fingerprint, u.cfg.Name)
 		}
-		t.scratch = append(t.scratch, c)
+		t.candidateBuf = append(t.candidateBuf, c)
 	}
 	if r.Prefix != 0 {
-		prefer(t.scratch, r.Prefix)
+		markPreferred(t.candidateBuf, r.Prefix)
 	}
-	return t.scratch
+	return t.candidateBuf
 }
 
-// scatter sends each suspect to upstreams of its own. Hosts don't see each
-// other's suspects, so two that were struck together would likely meet again on
-// what both find cheapest, and be struck together once more.
-func scatter(fingerprint uint64, upstream string) float64 {
-	const most = 8.0
+// suspectBias returns a cost that steers each suspect request to different upstreams. Hosts do not
+// see each other's suspects, so two requests that were in flight at the same crash would otherwise
+// likely meet again on the cheapest upstreams and be in flight at the next crash together.
+func suspectBias(fingerprint uint64, upstream string) float64 {
+	const maxBias = 8.0
 	h := mix(xxhash.Sum64String(upstream) ^ fingerprint)
-	return most * float64(h>>11) / (1 << 53)
+	return maxBias * float64(h>>11) / (1 << 53)
 }
 
-func (t *Tracker) sharers(p *pipeline) float64 {
+// hostCount returns how many hosts send work to any one upstream of a pipeline; at least 1.
+func (t *Tracker) hostCount(p *pipeline) float64 {
 	n := 1.0
 	if t.Sharers != nil {
 		n = float64(t.Sharers())
@@ -333,101 +335,102 @@
 	return max(1, n*p.share)
 }
 
-func (t *Tracker) candidate(now time.Time, p *pipeline, u *upstream, sharers float64) picker.Candidate {
+func (t *Tracker) candidate(now time.Time, p *pipeline, u *upstream, hosts float64) picker.Candidate {
 	c := picker.Candidate{
 		Name:       u.cfg.Name,
 		DataCentre: u.cfg.DataCentre,
 		First:      u.cfg.FirstLayer,
 		Last:       u.cfg.LastLayer,
-		Step:       ms(u.kind.StepMs),
-		Layer:      ms(u.kind.LayerMs),
-		Batch:      max(1, u.kind.Batch),
-		Own:        u.own,
-		Sequences:  u.sequences(now, sharers),
+		Step:       ms(u.accelerator.StepMs),
+		Layer:      ms(u.accelerator.LayerMs),
+		Batch:      max(1, u.accelerator.Batch),
+		Own:        u.inFlight,
+		Sequences:  u.sequences(now, hosts),
 		Excluded:   u.stateAt(now) != StateUp,
 	}
-	c.Slots = t.slots(now, u, &c, p, sharers)
+	c.Slots = t.slots(now, u, &c, p, hosts)
 	if t.Unlimited {
 		c.Slots = math.MaxInt32
 	}
 	return c
 }
 
-// slots is how many sequences an upstream may hold so that each gets a token
-// within the gap: by Little's law its rate times the gap, and no fewer than
-// one, less as tokens came late. The result is in terms of what it seems to
-// hold: this host may fill its own share whatever the others seem to have, and
-// a part of what they seem to leave.
-func (t *Tracker) slots(now time.Time, u *upstream, c *picker.Candidate, p *pipeline, sharers float64) float64 {
+// slots returns how many sequences an upstream may hold so that each gets a token within the
+// pipeline's token gap: by Little's law the upstream's rate times the gap, at least one, reduced
+// while tokens are late. The result is comparable to the estimated sequences of the upstream. This
+// host may fill its own share regardless of the others' estimated load, plus a part of what they
+// seem to leave free.
+func (t *Tracker) slots(now time.Time, u *upstream, c *picker.Candidate, p *pipeline, hosts float64) float64 {
 	all := max(1, c.Rate(c.Last-c.First+1)*p.cfg.TokenGapMs/1000*p.pace.factor())
-	others := c.Sequences - float64(u.own)
-	share := t.share(u, all, sharers)
-	if !u.reported || now.Sub(u.loadAt) > reportFresh {
-		// Nobody knows what is free, and every host would take the same.
+	others := c.Sequences - float64(u.inFlight)
+	share := t.share(u, all, hosts)
+	if !u.hasLoad || now.Sub(u.loadAt) > freshReportAge {
+		// Without a recent report the free capacity is unknown, and every host would take the same
+		// slots.
 		return max(1, share) + others
 	}
-	return share + borrow*max(0, all-others-share) + others
+	return share + borrowedShare*max(0, all-others-share) + others
 }
 
-// share is this host's even part of an upstream's slots. Of what can't be
-// divided, each host draws by hash, so that the parts add up to the whole.
-func (t *Tracker) share(u *upstream, all, sharers float64) float64 {
-	even := all / sharers
+// share returns this host's even share of an upstream's slots. Each host draws by hash for the
+// fractional part, so that the shares of all hosts add up to about the whole.
+func (t *Tracker) share(u *upstream, all, hosts float64) float64 {
+	even := all / hosts
 	whole := math.Floor(even)
-	if draw := float64(t.weight(u)>>11) / (1 << 53); draw < even-whole {
+	if draw := float64(t.rendezvousWeight(u)>>11) / (1 << 53); draw < even-whole {
 		return whole + 1
 	}
 	return whole
 }
 
-// sequences estimates how many sequences an upstream holds over all hosts.
-func (u *upstream) sequences(now time.Time, sharers float64) float64 {
-	return float64(u.own) + u.others(now, sharers)
+// sequences estimates how many sequences an upstream holds for all hosts.
+func (u *upstream) sequences(now time.Time, hosts float64) float64 {
+	return float64(u.inFlight) + u.othersInFlight(now, hosts)
 }
 
-// others estimates how many of them are other hosts'. A report is as old as the
-// upstream's lag, so what this host has now can't be taken off it: a burst of
-// its own would hide everybody else's. Its smoothed part is taken off instead,
-// and the difference smoothed again. As reports grow old they give way to the
-// guess that every sharer, behind the same balancer, holds as many.
-func (u *upstream) others(now time.Time, sharers float64) float64 {
-	guess := u.ownSlow.at(now, float64(u.own)) * (sharers - 1)
-	if !u.reported {
+// othersInFlight estimates how many sequences other hosts have on the upstream. A report is as old
+// as the upstream's lag, so the current own count must not be subtracted from it: a burst of this
+// host would hide the load of all others. Its average is subtracted instead, and the difference
+// smoothed again. As the report ages it gives way to the assumption that every host, behind the
+// same load balancer, holds as many.
+func (u *upstream) othersInFlight(now time.Time, hosts float64) float64 {
+	guess := u.inFlightAverage.update(now, float64(u.inFlight)) * (hosts - 1)
+	if !u.hasLoad {
 		return guess
 	}
 	age := now.Sub(u.loadAt)
-	if age >= reportStale {
+	if age >= maxReportAge {
 		return guess
 	}
-	if age <= reportFresh {
-		return u.othersSlow.value
+	if age <= freshReportAge {
+		return u.othersAverage.value
 	}
-	w := float64(age-reportFresh) / float64(reportStale-reportFresh)
-	return u.othersSlow.value*(1-w) + guess*w
+	w := float64(age-freshReportAge) / float64(maxReportAge-freshReportAge)
+	return u.othersAverage.value*(1-w) + guess*w
 }
 
-// stateAt is the state, a suspicion that was not confirmed left out.
+// stateAt returns the state at a time; a suspicion that was not confirmed within suspectTimeout is
+// ignored.
 func (u *upstream) stateAt(now time.Time) State {
 	if u.leaving() {
 		return StateLeaving
 	}
-	if u.heardDown {
+	if u.probersDown {
 		return StateDown
 	}
-	if u.state == StateSuspect && now.Sub(u.since) >= suspectFor {
+	if u.state == StateSuspect && now.Sub(u.stateSince) >= suspectTimeout {
 		return StateUp
 	}
 	return u.state
 }
 
 func (u *upstream) leaving() bool {
-	return u.drained || u.leavingAt != 0 && u.leavingAt >= u.incarnation
+	return u.leavePending || u.leavingIncarnation != 0 && u.leavingIncarnation >= u.incarnation
 }
 
-// holdsSuspect reports whether another suspect of this host is in flight
-// there. Suspects of one crash are kept apart, so that the next crash tells
-// which of them was the cause.
-func (t *Tracker) holdsSuspect(u *upstream, fingerprint uint64) bool {
+// hasOtherSuspect reports whether this host has another suspect request in flight on the upstream.
+// Suspects of one crash are kept apart, so that the next crash shows which of them caused it.
+func (t *Tracker) hasOtherSuspect(u *upstream, fingerprint uint64) bool {
 	for _, f := range u.requests {
 		if f.fingerprint != fingerprint && f.suspect {
 			return true
@@ -436,17 +439,18 @@
 	return false
 }
 
-// prefer marks, in each range of layers, where a prefix is likely cached: the
-// first by rendezvous hashing that is not fuller than a quarter above the mean.
-func prefer(cands []picker.Candidate, prefix uint64) {
+// markPreferred marks, in each layer range, the upstream on which a prefix is likely cached: the
+// first by rendezvous hashing whose utilisation is at most a quarter, plus a margin of 0.05, above
+// the mean.
+func markPreferred(cands []picker.Candidate, prefix uint64) {
 	for i := range cands {
-		if firstOfRange(cands, i) {
-			preferRange(cands, i, prefix)
+		if isFirstOfRange(cands, i) {
+			markPreferredInRange(cands, i, prefix)
 		}
 	}
 }
 
-func firstOfRange(cands []picker.Candidate, i int) bool {
+func isFirstOfRange(cands []picker.Candidate, i int) bool {
 	for j := range i {
 		if cands[j].First == cands[i].First && cands[j].Last == cands[i].Last {
 			return false
@@ -455,19 +459,19 @@
 	return true
 }
 
-func preferRange(cands []picker.Candidate, at int, prefix uint64) {
+func markPreferredInRange(cands []picker.Candidate, first int, prefix uint64) {
 	const tolerance = 1.25
 	var sum, n float64
-	for i := at; i < len(cands); i++ {
-		if c := &cands[i]; sameRange(c, &cands[at]) && !c.Excluded {
+	for i := first; i < len(cands); i++ {
+		if c := &cands[i]; sameRange(c, &cands[first]) && !c.Excluded {
 			sum += c.Utilisation()
 			n++
 		}
 	}
 	best, top := -1, uint64(0)
-	for i := at; i < len(cands); i++ {
+	for i := first; i < len(cands); i++ {
 		c := &cands[i]
-		if !sameRange(c, &cands[at]) || c.Excluded || c.Utilisation() > tolerance*sum/n+0.05 {
+		if !sameRange(c, &cands[first]) || c.Excluded || c.Utilisation() > tolerance*sum/n+0.05 {
 			continue
 		}
 		if h := xxhash.Sum64String(c.Name) ^ prefix; best < 0 || mix(h) > top {
@@ -481,7 +485,7 @@
 
 func sameRange(a, b *picker.Candidate) bool { return a.First == b.First && a.Last == b.Last }
 
-// mix spreads the bits of a hash that was combined with xor.
+// mix spreads the bits of a hash that was combined by xor.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -34,8 +34,9 @@
 	return t
 }
 
-// TestStates walks an upstream through what is seen and heard of it.
-func TestStates(t *testing.T) {
+// TestStateTransitions checks the state of an upstream after sequences of probes, failures, reports
+// and restarts.
+func TestStateTransitions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	type step struct {
 		name string
@@ -47,23 +48,23 @@
 		steps []step
 	}{
 		{"leaving wins over up until a newer incarnation", []step{
-			{"leaves", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateLeaving},
-			{"a good probe", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateLeaving},
-			{"its probers say up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateLeaving},
+			{"leave", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateLeaving},
+			{"successful probe while leaving", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateLeaving},
+			{"probers report up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateLeaving},
 			{"restarted", func(t *tracker.Tracker) { t.Report(now, "e0", tracker.Load{Incarnation: 2}) }, tracker.StateUp},
-			{"old news", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
+			{"leave of an old incarnation", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
 		}},
 		{"down until it answers", []step{
-			{"refused", func(t *tracker.Tracker) { t.Bad(now, "e0", true) }, tracker.StateDown},
-			{"a doubt changes nothing", func(t *tracker.Tracker) { t.Bad(now, "e0", false) }, tracker.StateDown},
-			{"answers", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateUp},
+			{"connection refused", func(t *tracker.Tracker) { t.Bad(now, "e0", true) }, tracker.StateDown},
+			{"failed request changes nothing", func(t *tracker.Tracker) { t.Bad(now, "e0", false) }, tracker.StateDown},
+			{"successful probe", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateUp},
 		}},
-		{"what its probers say counts", []step{
+		{"reports of its probers count", []step{
 			{"down", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, true) }, tracker.StateDown},
 			{"up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateUp},
 			{"an old incarnation down", func(t *tracker.Tracker) { t.Heard(now, "e0", 0, true) }, tracker.StateUp},
 		}},
-		{"drained before it was ever heard of", []step{
+		{"leaves before its incarnation is known", []step{
 			{"unknown incarnation", func(t *tracker.Tracker) { t.Leave("e1", 0) }, tracker.StateUp},
 		}},
 	} {
@@ -73,16 +74,16 @@
 			for _, s := range row.steps {
 				s.do(tr)
 				if got := tr.StateOf(now, "e0"); got != s.want {
-					t.Errorf("after %q it is %v, want %v", s.name, got, s.want)
+					t.Errorf("state after %q is %v, want %v", s.name, got, s.want)
 				}
 			}
 		})
 	}
 }
 
-// TestCounts draws choices and releases, doubled ones and new configurations
-// among them; what is in flight must be what was chosen and not released.
-func TestCounts(t *testing.T) {
+// TestInFlightCounts checks, for random sequences of choices, repeated releases and new
+// configurations, that the requests in flight are those that were chosen and not released.
+func TestInFlightCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newTracker("h", 1, 6)
 		now := time.Unix(1000, 0)
@@ -120,11 +121,9 @@
 	})
 }
 
-// TestSharesAddUp fills an upstream from four hosts that know nothing of each
-// other, before it reported anything. Each took half of what seemed free beside
-// its share, and together they gave it 56 sequences where 21 can be served in
-// time.
-func TestSharesAddUp(t *testing.T) {
+// TestSharesWithinCapacity fills an upstream from four hosts without load reports. If each took
+// half of what seems free beside its share, it would get 56 sequences but serve only 21 in time.
+func TestSharesWithinCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const hosts = 4
 	total := 0
@@ -134,13 +133,14 @@
 			total++
 		}
 	}
-	// Four sequences an iteration of 1 + 4*4*0.5 ms, for 48 ms: 21.3.
+	// Four sequences per iteration of 1 + 4*4*0.5 ms, over 48 ms: 21.3.
 	t.Logf("%d sequences over all hosts", total)
 	is.New(t).True(total >= 18 && total <= 26)
 }
 
-// TestStrikeKeys reads back what Key makes, and refuses what it doesn't.
-func TestStrikeKeys(t *testing.T) {
+// TestStrikeKeyRoundTrip checks that ParseStrike parses the result of Key and refuses anything
+// else.
+func TestStrikeKeyRoundTrip(t *testing.T) {
 	is := is.New(t)
 	s := tracker.NewStrike(time.Unix(1, 0), 0xabc, "a@b/c", 7)
 	back, err := tracker.ParseStrike(s.Key(), s.Expires, false)
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -9,7 +9,7 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// Status is one upstream as operators see it.
+// Status describes one upstream for operators.
 type Status struct {
 	Upstream    string  `json:"upstream"`
 	DataCentre  string  `json:"dataCentre"`
@@ -17,18 +17,18 @@
 	Incarnation int64   `json:"incarnation"`
 	InFlight    int     `json:"inFlight"`
 	Sequences   float64 `json:"sequences"`
-	// ReportAgeMs is -1 when no report came yet.
+	// ReportAgeMs is the age of the last load report in milliseconds; -1 before the first one.
 	ReportAgeMs int64 `json:"reportAgeMs"`
 }
 
-// Statuses lists all upstreams by name.
+// Statuses returns the status of all upstreams, sorted by name.
 func (t *Tracker) Statuses(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Status, 0, len(t.ups))
-	for name, u := range t.ups {
+	out := make([]Status, 0, len(t.upstreams))
+	for name, u := range t.upstreams {
 		age := int64(-1)
-		if u.reported {
+		if u.hasLoad {
 			age = now.Sub(u.loadAt).Milliseconds()
 		}
 		out = append(out, Status{
@@ -36,7 +36,7 @@
 			DataCentre:  u.cfg.DataCentre,
 			State:       u.stateAt(now),
 			Incarnation: u.incarnation,
-			InFlight:    u.own,
+			InFlight:    u.inFlight,
 			Sequences:   u.sequences(now, 1),
 			ReportAgeMs: age,
 		})
@@ -45,23 +45,24 @@
 	return out
 }
 
-// Upstream returns an upstream's declaration.
+// Upstream returns the declaration of an upstream, and whether it exists.
 func (t *Tracker) Upstream(name string) (builder.Upstream, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.ups[name]
+	u := t.upstreams[name]
 	if u == nil {
 		return builder.Upstream{}, false
 	}
 	return u.cfg, true
 }
 
-// Upstreams returns the declarations of a data centre; empty means all.
+// Upstreams returns the declarations of the upstreams in a data centre, sorted by name; an empty
+// data centre means all.
 func (t *Tracker) Upstreams(dataCentre string) []builder.Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []builder.Upstream
-	for _, u := range t.ups {
+	for _, u := range t.upstreams {
 		if dataCentre == "" || u.cfg.DataCentre == dataCentre {
 			out = append(out, u.cfg)
 		}
@@ -70,7 +71,7 @@
 	return out
 }
 
-// Model returns the model of a pipeline.
+// Model returns the model of a pipeline, and whether the pipeline exists.
 func (t *Tracker) Model(name string) (builder.Model, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +81,7 @@
 	return builder.Model{}, false
 }
 
-// Expect estimates the time between two tokens on a route, links included.
+// Expect estimates the time between two tokens on a route, including links.
 func (t *Tracker) Expect(now time.Time, name string, route picker.Route, from string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,13 +91,13 @@
 	}
 	var sum time.Duration
 	at := from
-	sharers := t.sharers(p)
+	hosts := t.hostCount(p)
 	for _, h := range route {
-		u := t.ups[h.Upstream]
+		u := t.upstreams[h.Upstream]
 		if u == nil {
 			continue
 		}
-		c := t.candidate(now, p, u, sharers)
+		c := t.candidate(now, p, u, hosts)
 		n := min(c.Sequences, float64(c.Batch))
 		sum += c.Step + time.Duration(n*float64(h.Last-h.First+1)*float64(c.Layer))
 		sum += t.links.Latency(at, c.DataCentre)
@@ -105,8 +106,8 @@
 	return sum + t.links.Latency(at, from)
 }
 
-// Bound is the throughput bound of a pipeline in tokens a second: over what is
-// up now, or over everything declared; prompts are left out.
+// Bound returns the throughput bound of a pipeline in tokens per second, over the upstreams that
+// are up or, if declared is set, over all declared ones. The cost of prompts is not included.
 func (t *Tracker) Bound(now time.Time, name string, declared bool) (float64, error) {
 	t.mu.Lock()
 	p := t.pipelines[name]
