--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,9 +1,9 @@
-// Package balancer chooses the upstreams of a request: one for a plain service,
-// or a path of engines that run a model's layers in turn.
+// Package balancer chooses the upstreams of a request: one upstream for a plain service, or
+// a path of engines that run a model's layers in turn.
 //
-// It knows what the list of upstreams says, what this host has in flight, and
-// what its own requests saw. It does no I/O; time comes in as an argument, on a
-// clock that does not run backwards.
+// It decides from the list of upstreams, from what this host has in flight, from what its
+// own requests observed, and from the reports of other hosts. It does no I/O. Callers pass
+// the time, as read from a monotonic clock.
 package balancer
 
 import (
@@ -16,212 +16,212 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// Span is a range of layers that an upstream holds.
+// Span is the half-open range [From, To) of layers that an upstream holds.
 type Span struct {
 	From int `json:"from"`
-	// To is the one after the last.
+	// To is the layer after the last one.
 	To int `json:"to"`
 }
 
-// Len is the number of layers.
+// Len returns the number of layers; an inverted range has none.
 func (s Span) Len() int { return max(0, s.To-s.From) }
 
-// Upstream is what the list says of one.
+// Upstream is an upstream's entry in the list.
 type Upstream struct {
-	// ID is unique to an incarnation, unless Born tells otherwise.
+	// ID names one incarnation. Where an id is reused, Born tells the incarnations apart.
 	ID         string `json:"id"`
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
 	// Slots is how many requests it runs at once.
 	Slots int `json:"slots"`
-	// Leaving upstreams take no new work.
+	// Leaving is set when the upstream takes no new work.
 	Leaving bool `json:"leaving"`
 	// Card is its kind of accelerator; empty where the service names none.
 	Card string `json:"card"`
-	// Holds are its layers; empty means that it holds none, or needs none.
+	// Holds are the layers that it has loaded; empty when it has none or needs none.
 	Holds Span `json:"holds"`
 	// Born is when it was started, in Unix milliseconds.
 	Born int64 `json:"born"`
 }
 
-// Hop is one upstream of a path and the layers it runs; both 0 for a plain one.
+// Hop is one upstream of a path with the layers it runs; both 0 for a plain service.
 type Hop struct {
 	ID, Address string
-	// From is the first layer, To the one after the last.
+	// From is the first layer, To the layer after the last one.
 	From, To int
 }
 
-// Lease is a chosen path with its room reserved, until Release.
+// Lease is a chosen path with its reserved capacity. The holder must call Release once.
 type Lease struct {
-	// First is the hop that the request is sent to; it never changes.
+	// First is the hop that the request is sent to. It stays the same when the path changes.
 	First Hop
 	// Born is when the upstream of First was started, in Unix milliseconds.
 	Born int64
-	// hops is the whole path, which may change while the lease is held: it is
-	// read through Balancer.Path.
+	// hops is the whole path. It may change while the lease is held; read it through
+	// Balancer.Path.
 	hops []Hop
-	// HeldOff are upstreams that were passed over since their limit has no room.
+	// HeldOff lists the upstreams that were skipped because their rate limit had no capacity.
 	HeldOff []string
-	// need is what it was reserved for.
-	need Need
-	// tokens is the room reserved on each hop for each layer.
+	// requirements are those that the lease was acquired for.
+	requirements Need
+	// tokens is the capacity reserved on each hop, in tokens for each layer.
 	tokens float64
-	// first is set once an event has come.
-	first bool
+	// started is set once the stream has had its first event.
+	started bool
 }
 
-// Need is what a request asks for.
+// Need is what a request requires of its upstreams.
 type Need struct {
 	Service string
-	// Prompt and Answer are the expected tokens; 0 for a plain service.
+	// Prompt and Answer are the expected numbers of tokens; 0 for a plain service.
 	Prompt, Answer float64
-	// Avoid are upstreams that failed this request.
+	// Avoid lists the upstreams that failed this request.
 	Avoid []string
-	// Firsts are the upstreams that it may be sent to; nil means any.
+	// Firsts lists the upstreams that the request may be sent to; nil allows any.
 	Firsts []string
-	// Begun is set for a stream that has to go on: it may take the room that is
-	// kept free otherwise.
+	// Begun is set for a stream that has to go on. It may use the capacity that is
+	// otherwise kept free.
 	Begun bool
-	// Target is how soon the first event is wanted; 0 is not known.
+	// Target is how soon the first event is wanted; 0 when that is not known.
 	Target time.Duration
 }
 
 //go:generate enumer -type Reason -trimprefix Reason -transform title-lower -output reason_gen.go
 
-// Reason is why there is no place.
+// Reason is why no upstream could be acquired.
 type Reason int
 
-// The reasons.
+// The reasons of Acquire.
 const (
-	// ReasonNone: there is a place.
+	// ReasonNone means that a lease was acquired.
 	ReasonNone Reason = iota
-	// ReasonNoUpstream: no upstream that is up, or no path over all layers.
+	// ReasonNoUpstream means that no upstream is usable, or no path covers all layers.
 	ReasonNoUpstream
-	// ReasonNoRoom: all that could run it are full.
+	// ReasonNoRoom means that all upstreams that could run the request are full.
 	ReasonNoRoom
-	// ReasonLimit: all that could run it are full, or get as many requests as their
-	// limit allows.
+	// ReasonLimit means that all upstreams that could run the request are full or have
+	// reached their rate limit.
 	ReasonLimit
 )
 
-// upstream is all that is known of one.
+// upstream is a list entry with all that this host knows of the upstream.
 type upstream struct {
 	Upstream
-	// running counts requests of this host that it is the first to run, passing
-	// those whose path it is on.
-	running, passing int
-	// room is the token-layers that this host's requests may fill there.
-	room, reserved float64
-	// outUntil keeps new work off it after a failure that no list knows yet.
-	outUntil time.Duration
-	// suspectUntil is until when it is dearer after it was out, unless it serves.
+	// firstHopRequests counts requests of this host whose first hop it is, requests those
+	// whose path it is on.
+	firstHopRequests, requests int
+	// capacity is the number of token-layers that fit in its memory beside the layers, and
+	// reserved how many of them this host's requests take.
+	capacity, reserved float64
+	// ejectedUntil keeps new work off it after a failure that the list doesn't show yet.
+	ejectedUntil time.Duration
+	// suspectUntil is how long its cost is raised after an ejection, unless a stream starts.
 	suspectUntil time.Duration
-	// pace is how many times as long as its kind of accelerator it takes, as it
-	// reported at paceAt; 0 before the first report.
+	// pace is by what factor it is slower than its kind of accelerator, as it reported at
+	// paceAt; 0 before the first report.
 	pace   float64
 	paceAt time.Duration
-	// slow counts slow events over it since slowSince.
-	slow      int
-	slowSince time.Duration
-	// strikes counts failures in a row that took it out.
-	strikes int
-	// dead is set while it takes no connection, until it does again; died is
-	// when that was found.
-	dead bool
-	died time.Duration
-	// ended is set while it refuses connections, which shows that it is at work
-	// no more.
-	ended bool
-	// grey is the smoothed share of failed requests.
-	grey float64
-	// load is what it last said of all hosts' requests, at loadAt.
+	// slowEvents counts late events over it since slowSince.
+	slowEvents int
+	slowSince  time.Duration
+	// ejections counts failures in a row that ejected it.
+	ejections int
+	// dead is set while it accepts no connection; diedAt is when that was last found.
+	dead   bool
+	diedAt time.Duration
+	// stopped is set while it refuses connections, which shows that its process has ended.
+	stopped bool
+	// failureRate is the moving average of the share of failed requests.
+	failureRate float64
+	// load is what it last reported about the requests of all hosts, at loadAt.
 	load   Load
 	loadAt time.Duration
-	// flows are this host's streams through it that have begun, and progressed
-	// is when the last event came over any of them.
-	flows      int
-	progressed time.Duration
-	// hidden are token-layers that nobody told of, as of fullAt, when the
-	// upstream had no room though this host expected some.
-	hidden float64
-	fullAt time.Duration
-	limit  limit
-	// rank is its place in this host's own order, retired is set where the subset
-	// holds it for what is in flight only.
+	// activeStreams counts this host's streams over it that have started; lastEventAt is when
+	// the last event of any of them came.
+	activeStreams int
+	lastEventAt   time.Duration
+	// hiddenUsage is the usage in token-layers that no report covered at rejectedAt, when the
+	// upstream had no capacity left though this host expected some.
+	hiddenUsage float64
+	rejectedAt  time.Duration
+	limit       limit
+	// rank is its position in this host's own order. retired is set where the subset keeps it
+	// only for requests in flight.
 	rank    uint64
 	retired bool
 }
 
-// Load is what an upstream says of itself in an answer.
+// Load is what an upstream reports of itself in an answer.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Balancer is safe for concurrent use. The fields are set before use.
+// Balancer is safe for concurrent use. Set the exported fields before the first call.
 type Balancer struct {
-	// Host is this host's name; which part of a large fleet it uses follows from it.
+	// Host is this host's name. It decides which subset of a large fleet the host uses.
 	Host string
-	// DataCentre is this host's own.
+	// DataCentre is the data centre of this host.
 	DataCentre string
 	Policy     picker.Policy
 	Rand       *rand.Rand
 
 	mu sync.Mutex
-	// hosts counts the other hosts, by data centre.
-	hosts map[string]int
-	// base is the smoothed time to the first event of paths that stay in one
-	// data centre, seen what is known of the links between them, and local of the
-	// paths that stay in one.
-	base     time.Duration
-	seen     map[[2]string]*link
-	local    map[string]*link
-	peers    reports
-	services map[string]*matcher.Service
-	ups      map[string]*upstream
-	byAddr   map[string]*upstream
-	subset   subset
-	pipes    pipes
-	// limited are the upstreams that named a limit once.
+	// hostCounts is the number of other hosts by data centre.
+	hostCounts map[string]int
+	// baseDelay is the moving average of the time to the first event over paths inside one
+	// data centre. linkDelays holds the extra delay of each link between data centres, and
+	// localDelays the time to the first event inside each data centre.
+	baseDelay   time.Duration
+	linkDelays  map[[2]string]*delayAverage
+	localDelays map[string]*delayAverage
+	peerReports reports
+	services    map[string]*matcher.Service
+	upstreams   map[string]*upstream
+	byAddress   map[string]*upstream
+	subset      subset
+	pipes       pipeBudgets
+	// limited holds the upstreams that have named a rate limit.
 	limited map[string]*upstream
-	// limitedSent counts requests sent to upstreams while they named a limit, heldOff
-	// those that did not go to one since its limit had no room.
-	limitedSent, heldOff int64
-	// hostNames are the other hosts with their data centres. hostsVersion counts their
-	// changes, and hostsAt is when the change hostsNoted was noticed.
-	hostNames                map[string]string
-	hostsVersion, hostsNoted int64
-	hostsAt                  time.Duration
+	// limitedSent counts requests sent to upstreams with a limit in force, throttledCount
+	// requests that skipped an upstream because its limit had no capacity.
+	limitedSent, throttledCount int64
+	// hostDataCentres maps the other hosts to their data centres. hostsVersion counts its
+	// changes. The change to hostsVersionSeen was first seen at hostsChangedAt.
+	hostDataCentres                map[string]string
+	hostsVersion, hostsVersionSeen int64
+	hostsChangedAt                 time.Duration
 }
 
-// Configure takes in the services.
+// Configure sets the services, by name.
 func (b *Balancer) Configure(services map[string]*matcher.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.services = services
-	for _, u := range b.ups {
-		u.measure(services[u.Service])
+	for _, u := range b.upstreams {
+		u.updateCapacity(services[u.Service])
 	}
 	b.subset.stale = true
 }
 
-// List takes in changes of the list. It returns those that differ from what was
-// known: upstreams repeat their entry with each heartbeat.
+// List applies changes of the list of upstreams. It returns the entries that differ from the
+// known ones, since upstreams repeat their entry with each heartbeat, and the ids among gone
+// that were known.
 func (b *Balancer) List(listed []Upstream, gone []string) (changed []Upstream, dropped []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ups == nil {
-		b.ups = make(map[string]*upstream)
-		b.byAddr = make(map[string]*upstream)
+	if b.upstreams == nil {
+		b.upstreams = make(map[string]*upstream)
+		b.byAddress = make(map[string]*upstream)
 	}
 	for _, id := range gone {
-		if b.ups[id] != nil {
+		if b.upstreams[id] != nil {
 			dropped = append(dropped, id)
 		}
 		b.drop(id)
 	}
 	for _, l := range listed {
-		u := b.ups[l.ID]
+		u := b.upstreams[l.ID]
 		if u != nil && u.Upstream == l {
 			continue
 		}
@@ -232,89 +232,88 @@
 		}
 		if u == nil {
 			u = &upstream{rank: rankOf(b.Host, l.ID)}
-			b.ups[l.ID] = u
+			b.upstreams[l.ID] = u
 		}
 		u.Upstream = l
-		u.measure(b.services[l.Service])
+		u.updateCapacity(b.services[l.Service])
 		b.supersede(u)
 	}
-	if len(b.ups) <= mostUsed {
+	if len(b.upstreams) <= subsetThreshold {
 		b.useAll()
 	}
 	b.subset.stale = b.subset.stale || len(changed)+len(dropped) > 0
 	return changed, dropped
 }
 
-// KeepLeaving marks those of a list as leaving that are known to: a list from a copy may be
-// older than that, and an incarnation that leaves does not come back.
+// KeepLeaving sets Leaving on the entries of list that are known to be leaving. A list copied
+// from another host may be older than that, and an incarnation that leaves doesn't come back.
 func (b *Balancer) KeepLeaving(list []Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range list {
-		if u := b.ups[list[i].ID]; u != nil && u.Born == list[i].Born && u.Leaving {
+		if u := b.upstreams[list[i].ID]; u != nil && u.Born == list[i].Born && u.Leaving {
 			list[i].Leaving = true
 		}
 	}
 }
 
-// supersede drops the older of two upstreams with one address. One that was
-// started again is listed under a new id while its old entry stays for some
-// heartbeats; paths over the layers of the old one were turned away, and the
-// new one was blamed for it.
+// supersede drops the older of two upstreams at one address. A restarted upstream is listed
+// under a new id while its old entry stays for some heartbeats. Requests routed by the layers
+// of the old entry would be rejected and the failures counted against the new one.
 func (b *Balancer) supersede(u *upstream) {
-	old := b.byAddr[u.Address]
+	old := b.byAddress[u.Address]
 	switch {
-	case old == nil || old == u || b.ups[old.ID] != old || old.Address != u.Address:
-		b.byAddr[u.Address] = u
+	case old == nil || old == u || b.upstreams[old.ID] != old || old.Address != u.Address:
+		b.byAddress[u.Address] = u
 	case old.Born <= u.Born:
 		b.drop(old.ID)
-		b.byAddr[u.Address] = u
+		b.byAddress[u.Address] = u
 	default:
 		b.drop(u.ID)
 	}
 }
 
 func (b *Balancer) drop(id string) {
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil {
 		return
 	}
-	delete(b.ups, id)
+	delete(b.upstreams, id)
 	delete(b.limited, id)
 	delete(b.subset.used, id)
-	if b.byAddr[u.Address] == u {
-		delete(b.byAddr, u.Address)
+	if b.byAddress[u.Address] == u {
+		delete(b.byAddress, u.Address)
 	}
 }
 
-// Listed returns the list of upstreams as it is known.
+// Listed returns the known upstreams, in no particular order.
 func (b *Balancer) Listed() []Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Upstream, 0, len(b.ups))
-	for _, u := range b.ups {
+	out := make([]Upstream, 0, len(b.upstreams))
+	for _, u := range b.upstreams {
 		out = append(out, u.Upstream)
 	}
 	return out
 }
 
-// IDs lists the known upstreams.
+// IDs returns the ids of the known upstreams, in no particular order.
 func (b *Balancer) IDs() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]string, 0, len(b.ups))
-	for id := range b.ups {
+	out := make([]string, 0, len(b.upstreams))
+	for id := range b.upstreams {
 		out = append(out, id)
 	}
 	return out
 }
 
-// DataCentres lists those with upstreams, in order.
+// DataCentres returns the data centres that have upstreams, sorted.
 func (b *Balancer) DataCentres() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		if !slices.Contains(out, u.DataCentre) {
 			out = append(out, u.DataCentre)
 		}
@@ -323,19 +322,19 @@
 	return out
 }
 
-// measure computes the room beside the layers that an upstream holds.
-func (u *upstream) measure(s *matcher.Service) {
-	u.room = 0
+// updateCapacity computes the capacity that the held layers leave for requests.
+func (u *upstream) updateCapacity(s *matcher.Service) {
+	u.capacity = 0
 	if s == nil || s.Engine == nil {
 		return
 	}
 	e := s.Engine
 	free := CardOf(e, u.Card).MB - float64(u.Holds.Len())*e.LayerMB
-	u.room = max(0, free*1e6/(e.TokenBytes/float64(e.Layers)))
+	u.capacity = max(0, free*1e6/(e.TokenBytes/float64(e.Layers)))
 }
 
-// CardOf returns the kind of accelerator; one that holds everything where the
-// service names none.
+// CardOf returns the kind of accelerator of that name. Where the service doesn't name it, the
+// result has memory for twice the whole model and runs at the declared speed.
 func CardOf(e *matcher.Engine, name string) matcher.Card {
 	for _, c := range e.Cards {
 		if c.Name == name {
@@ -345,8 +344,8 @@
 	return matcher.Card{Name: name, MB: e.LayerMB * float64(e.Layers) * 2, Pace: 1, ReadPace: 1}
 }
 
-// Acquire reserves a place at the cheapest upstreams. The lease is nil unless
-// the reason is ReasonNone.
+// Acquire reserves capacity on the cheapest upstreams. The lease is nil unless the reason is
+// ReasonNone.
 func (b *Balancer) Acquire(now time.Duration, n Need) (*Lease, Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -355,92 +354,91 @@
 		return nil, ReasonNoUpstream
 	}
 	if s.Engine == nil || s.Engine.Layers == 0 {
-		return b.plain(now, n)
+		return b.acquirePlain(now, n)
 	}
-	b.refresh(now)
-	l, reason := b.path(now, s, n)
-	if l == nil && b.widen(now) {
-		l, reason = b.path(now, s, n)
+	b.refreshSubset(now)
+	l, reason := b.acquirePath(now, s, n)
+	if l == nil && b.widenSubset(now) {
+		l, reason = b.acquirePath(now, s, n)
 	}
 	return l, reason
 }
 
-// first reports whether the request may be sent to an upstream.
-func (n *Need) first(id string) bool {
+// allowsFirst reports whether the request may be sent to the upstream.
+func (n *Need) allowsFirst(id string) bool {
 	return n.Firsts == nil || slices.Contains(n.Firsts, id)
 }
 
 // usable reports whether new work may go to u.
 func (u *upstream) usable(now time.Duration, avoid []string) bool {
-	return !u.Leaving && !u.dead && u.outUntil <= now && !slices.Contains(avoid, u.ID)
+	return !u.Leaving && !u.dead && u.ejectedUntil <= now && !slices.Contains(avoid, u.ID)
 }
 
 const (
-	// distance is how many requests in flight a plain upstream in another data
-	// centre counts for: crossing costs bytes and a millisecond, and is still
-	// better than to wait.
-	distance = 2.0
-	// greyWeight is how many requests in flight an upstream counts for that
-	// fails all it gets. It has to outweigh an upstream that is nearly full.
-	greyWeight = 40.0
-	// stale is how long a load report is believed; older ones say nothing.
-	stale = time.Second
+	// remotePenalty is how many requests in flight a plain upstream in another data centre
+	// counts for: crossing costs bytes and a millisecond, and is still better than waiting.
+	remotePenalty = 2.0
+	// failurePenalty is how many requests in flight an upstream counts for that fails all its
+	// requests. It has to outweigh an upstream that is nearly full.
+	failurePenalty = 40.0
+	// maxLoadAge is how long a load report is used; older ones are ignored.
+	maxLoadAge = time.Second
 )
 
-// plain takes the least loaded upstream, by its own word and by what this host
+// acquirePlain takes the least loaded upstream, judged by its own report and by what this host
 // has in flight there.
-func (b *Balancer) plain(now time.Duration, n Need) (*Lease, Reason) {
+func (b *Balancer) acquirePlain(now time.Duration, n Need) (*Lease, Reason) {
 	var best *upstream
 	var cost float64
-	known := false
-	var held []string
+	found := false
+	var throttled []string
 	for _, u := range b.subset.used {
 		if u.Service != n.Service {
 			continue
 		}
-		if !u.usable(now, n.Avoid) || !n.first(u.ID) {
+		if !u.usable(now, n.Avoid) || !n.allowsFirst(u.ID) {
 			continue
 		}
-		known = true
-		if !b.permitted(now, u, n.Begun) {
-			held = append(held, u.ID)
+		found = true
+		if !b.withinLimit(now, u, n.Begun) {
+			throttled = append(throttled, u.ID)
 			continue
 		}
-		c := u.pressure(now) + greyWeight*u.grey + b.Rand.Float64()*0.5
+		c := u.estimatedLoad(now) + failurePenalty*u.failureRate + b.Rand.Float64()*0.5
 		if u.DataCentre != b.DataCentre {
-			c += distance
+			c += remotePenalty
 		}
 		if best == nil || c < cost {
 			best, cost = u, c
 		}
 	}
-	b.noteHeld(held)
+	b.countThrottled(throttled)
 	switch {
 	case best != nil:
-	case len(held) > 0:
+	case len(throttled) > 0:
 		return nil, ReasonLimit
-	case known:
+	case found:
 		return nil, ReasonNoRoom
 	default:
 		return nil, ReasonNoUpstream
 	}
-	best.running++
-	b.noteSent(now, best)
+	best.firstHopRequests++
+	b.countSent(now, best)
 	hop := Hop{ID: best.ID, Address: best.Address}
-	return &Lease{need: n, First: hop, Born: best.Born, HeldOff: held, hops: []Hop{hop}}, ReasonNone
+	return &Lease{requirements: n, First: hop, Born: best.Born, HeldOff: throttled, hops: []Hop{hop}}, ReasonNone
 }
 
-// pressure is the requests that an upstream is thought to hold.
-func (u *upstream) pressure(now time.Duration) float64 {
-	own := float64(u.running)
-	if now-u.loadAt > stale {
+// estimatedLoad estimates the requests at an upstream, with less weight for older reports.
+func (u *upstream) estimatedLoad(now time.Duration) float64 {
+	own := float64(u.firstHopRequests)
+	if now-u.loadAt > maxLoadAge {
 		return own
 	}
-	weight := 1 - float64(now-u.loadAt)/float64(stale)
+	weight := 1 - float64(now-u.loadAt)/float64(maxLoadAge)
 	return own + weight*max(0, float64(u.load.Running+u.load.Waiting)-own)
 }
 
-// Release gives the places of a lease back.
+// Release frees the capacity of a lease.
 func (b *Balancer) Release(l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -449,33 +447,33 @@
 
 func (b *Balancer) release(l *Lease) {
 	for i, h := range l.hops {
-		u := b.ups[h.ID]
+		u := b.upstreams[h.ID]
 		if u == nil {
 			continue
 		}
 		if i == 0 {
-			u.running = max(0, u.running-1)
+			u.firstHopRequests = max(0, u.firstHopRequests-1)
 		}
-		u.passing = max(0, u.passing-1)
+		u.requests = max(0, u.requests-1)
 		u.reserved = max(0, u.reserved-l.tokens*float64(h.To-h.From))
-		if l.first {
-			u.flows = max(0, u.flows-1)
+		if l.started {
+			u.activeStreams = max(0, u.activeStreams-1)
 		}
 	}
 }
 
-// Path returns the hops of a lease now.
+// Path returns the current hops of a lease.
 func (b *Balancer) Path(l *Lease) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(l.hops)
 }
 
-// ByAddress returns the id of the upstream at an address, or "".
+// ByAddress returns the id of the upstream at an address, or "" when none is known.
 func (b *Balancer) ByAddress(address string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if u := b.byAddr[address]; u != nil {
+	if u := b.byAddress[address]; u != nil {
 		return u.ID
 	}
 	return ""
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// newBalancer has two data centres that hold a model each in two halves, and a
-// desk in both.
+// newBalancer has two data centres that each hold a model in two halves and have one upstream
+// of the service desk.
 func newBalancer() *balancer.Balancer {
 	b := &balancer.Balancer{DataCentre: "a", Policy: picker.Cheapest{Steepness: 2}, Rand: rand.New(rand.NewPCG(1, 1))}
 	b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: engine()}, "desk": {Name: "desk"}})
@@ -41,7 +41,7 @@
 	return b
 }
 
-var need = balancer.Need{Service: "model", Prompt: 700, Answer: 200}
+var modelNeed = balancer.Need{Service: "model", Prompt: 700, Answer: 200}
 
 func ids(hops []balancer.Hop) string {
 	out := ""
@@ -61,23 +61,23 @@
 func TestPath(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	is.Equal(ids(b.Path(acquire(t, b, 0, need))), "a1 a2 ") // its own data centre first
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "a1 a2 ") // prefers its own data centre
 	is.True(b.SetDead(0, "a2", true))
-	is.Equal(ids(b.Path(acquire(t, b, 0, need))), "b1 b2 ") // a whole path elsewhere before a crossing
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ") // prefers a path inside another data centre to one that crosses
 	is.True(b.SetDead(0, "b1", true))
-	is.Equal(ids(b.Path(acquire(t, b, 0, need))), "a1 b2 ") // a crossing before none
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "a1 b2 ") // crosses when there is no other path
 	is.True(b.SetDead(0, "b2", true))
-	_, reason := b.Acquire(0, need)
+	_, reason := b.Acquire(0, modelNeed)
 	is.Equal(reason, balancer.ReasonNoUpstream)
 }
 
-// TestRoom guards against an upstream that passes for empty while other hosts fill it.
-func TestRoom(t *testing.T) {
+// TestUsageOfOtherHosts guards against an upstream that counts as empty while other hosts fill it.
+func TestUsageOfOtherHosts(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	free := 0
 	for {
-		if _, reason := b.Acquire(0, need); reason != balancer.ReasonNone {
+		if _, reason := b.Acquire(0, modelNeed); reason != balancer.ReasonNone {
 			is.Equal(reason, balancer.ReasonNoRoom)
 			break
 		}
@@ -86,19 +86,19 @@
 	other := newBalancer()
 	other.SetHosts(map[string]string{"host-b": "a"})
 	is.NoErr(other.SetReport(0, "host-b", b.Usage(0)))
-	_, reason := other.Acquire(0, need)
+	_, reason := other.Acquire(0, modelNeed)
 	is.Equal(reason, balancer.ReasonNoRoom)
-	_, reason = other.Acquire(10*time.Second, need) // what it told is too old
+	_, reason = other.Acquire(10*time.Second, modelNeed) // the report has expired
 	is.Equal(reason, balancer.ReasonNone)
 	t.Logf("%d requests fit", free)
 }
 
-func TestReleaseGivesAllBack(t *testing.T) {
+func TestReleaseFreesReservations(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	var leases []*balancer.Lease
 	for range 20 {
-		l := acquire(t, b, 0, need)
+		l := acquire(t, b, 0, modelNeed)
 		b.Begun(0, l)
 		leases = append(leases, l)
 	}
@@ -115,47 +115,46 @@
 func TestRepath(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	l := acquire(t, b, 0, need)
+	l := acquire(t, b, 0, modelNeed)
 	is.True(b.SetDead(0, "a2", true))
 	is.Equal(ids(b.Repath(0, l, "a2")), "a1 b2 ")
 	is.Equal(ids(b.Path(l)), "a1 b2 ")
 	is.True(b.SetDead(0, "b2", true))
 	is.Equal(b.Repath(0, l, "b2"), nil)
-	is.Equal(ids(b.Path(l)), "a1 b2 ") // as it was
+	is.Equal(ids(b.Path(l)), "a1 b2 ") // unchanged
 }
 
-// TestSilent guards against a crashed upstream that is found late, or a pausing one
-// that is asked.
+// TestSilent guards against a crashed upstream that is found late, and against a probe of one
+// that only pauses.
 func TestSilent(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	one := acquire(t, b, 0, need)
+	one := acquire(t, b, 0, modelNeed)
 	b.Begun(0, one)
 	is.Equal(len(b.Silent(100*ms)), 0)
 	is.Equal(len(b.Silent(300*ms)), 2)
 	for range 24 {
-		b.Begun(300*ms, acquire(t, b, 300*ms, need))
+		b.Begun(300*ms, acquire(t, b, 300*ms, modelNeed))
 	}
 	is.Equal(len(b.Silent(320*ms)), 0)
 	is.True(len(b.Silent(370*ms)) >= 2)
 	b.Progress(370*ms, one)
 	for _, h := range b.Silent(371 * ms) {
-		is.True(h.ID != "a1" && h.ID != "a2") // those that got an event
+		is.True(h.ID != "a1" && h.ID != "a2") // these had an event just now
 	}
 }
 
-// TestRestarted guards against paths over the old entry of an upstream that was started
-// again.
+// TestRestarted guards against paths that use the old list entry of a restarted upstream.
 func TestRestarted(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	b.List([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Born: 7}}, nil)
-	is.Equal(ids(b.Path(acquire(t, b, 0, need))), "b1 b2 ")
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ")
 	b.List([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Holds: balancer.Span{To: 40}, Born: 3}}, nil)
-	is.Equal(b.ByAddress("a:1"), "a1-new") // a late heartbeat of the old one
+	is.Equal(b.ByAddress("a:1"), "a1-new") // ignores a late heartbeat of the old incarnation
 }
 
-// TestSlowLink guards against paths that keep to a pipe slower than declared.
+// TestSlowLink guards against paths that stay on a link slower than declared.
 func TestSlowLink(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
@@ -167,22 +166,22 @@
 	}, nil)
 	is.True(b.SetDead(0, "a2", true))
 	is.True(b.SetDead(0, "b1", true))
-	l := acquire(t, b, 0, need)
+	l := acquire(t, b, 0, modelNeed)
 	is.Equal(ids(b.Path(l)), "a1 b2 ")
 	for n := range 6 {
 		b.First(l, time.Duration(n)*ms, 2*time.Second)
 	}
 	b.Release(l)
-	is.True(!strings.Contains(ids(b.Path(acquire(t, b, 7*ms, need))), "a1 b2"))
-	is.Equal(ids(b.Path(acquire(t, b, 20*time.Second, need))), "a1 b2 ") // tried again
+	is.True(!strings.Contains(ids(b.Path(acquire(t, b, 7*ms, modelNeed))), "a1 b2"))
+	is.Equal(ids(b.Path(acquire(t, b, 20*time.Second, modelNeed))), "a1 b2 ") // the link is tried again
 }
 
-// TestNarrowStage guards against streams that queue in a data centre with one upstream
-// left for some layers, while another one has room.
+// TestNarrowStage guards against streams that queue in a data centre with one upstream left for
+// some layers while another data centre has capacity.
 func TestNarrowStage(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	n := need
+	n := modelNeed
 	n.Target = 500 * ms
 	first := func(now, took time.Duration) string {
 		l := acquire(t, b, now, n)
@@ -191,7 +190,7 @@
 		return ids(b.Path(l))
 	}
 	for i := range 100 {
-		is.Equal(first(time.Duration(i)*100*ms, 60*ms), "a1 a2 ") // in time, and at home
+		is.Equal(first(time.Duration(i)*100*ms, 60*ms), "a1 a2 ") // in time inside its own data centre
 	}
 	elsewhere := 0
 	for i := range 100 {
@@ -207,12 +206,12 @@
 		b.Release(l)
 	}
 	is.True(elsewhere >= 70)
-	is.Equal(first(40*time.Second, 60*ms), "a1 a2 ") // tried again at home
+	is.Equal(first(40*time.Second, 60*ms), "a1 a2 ") // its own data centre is tried again
 }
 
-// TestTwoDead guards against a cut data centre that is found one upstream after the
-// other.
-func TestTwoDead(t *testing.T) {
+// TestCorrelatedLoss guards against a data centre that is cut off and found dead one upstream
+// at a time.
+func TestCorrelatedLoss(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	is.True(b.SetDead(0, "b1", true))
@@ -230,7 +229,7 @@
 	for range 20 {
 		b.Failed("adesk")
 	}
-	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "bdesk ") // it fails what it gets
+	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "bdesk ") // adesk fails its requests
 	n.Avoid = []string{"bdesk"}
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "adesk ")
 	b.List([]balancer.Upstream{{ID: "adesk", Service: "desk", Address: "a:3", DataCentre: "a", Leaving: true}}, []string{"bdesk"})
@@ -252,7 +251,7 @@
 			}
 			bal.List(list, nil)
 			for b.Loop() {
-				if l, _ := bal.Acquire(0, need); l != nil {
+				if l, _ := bal.Acquire(0, modelNeed); l != nil {
 					bal.Release(l)
 				}
 			}
@@ -260,33 +259,33 @@
 	}
 }
 
-// TestElsewhere guards against streams that queue in a pipe between data centres after
-// a loss.
-func TestElsewhere(t *testing.T) {
+// TestRestartElsewhere guards against streams that queue in a pipe between data centres after
+// an upstream is lost.
+func TestRestartElsewhere(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	few := acquire(t, b, 0, need)
-	is.True(!b.Elsewhere(0, few, "a2")) // one stream crosses fast enough
+	few := acquire(t, b, 0, modelNeed)
+	is.True(!b.Elsewhere(0, few, "a2")) // a single stream crosses fast enough
 	for range 20 {
-		acquire(t, b, 0, need)
+		acquire(t, b, 0, modelNeed)
 	}
 	is.True(b.SetDead(0, "a2", true))
 	is.True(b.Elsewhere(0, few, "a2"))
-	is.Equal(ids(b.Path(few)), "a1 a2 ") // as it was
+	is.Equal(ids(b.Path(few)), "a1 a2 ") // unchanged
 	is.True(b.SetDead(0, "b1", true))
-	is.True(!b.Elsewhere(0, few, "a2")) // no whole path is left: cross
+	is.True(!b.Elsewhere(0, few, "a2")) // no path inside one data centre is left, so it crosses
 	is.Equal(ids(b.Repath(0, few, "a2")), "a1 b2 ")
 }
 
-// TestSpareInside guards against streams that read all anew though their data centre
-// holds the lost layers.
-func TestSpareInside(t *testing.T) {
+// TestSpareInSameDataCentre guards against streams that read the whole prompt again though their
+// data centre still holds the lost layers.
+func TestSpareInSameDataCentre(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	b.List([]balancer.Upstream{{ID: "a3", Service: "model", Address: "a:4", DataCentre: "a", Card: "large", Holds: balancer.Span{From: 40, To: 80}}}, nil)
-	l := acquire(t, b, 0, need)
+	l := acquire(t, b, 0, modelNeed)
 	for range 40 {
-		acquire(t, b, 0, need)
+		acquire(t, b, 0, modelNeed)
 	}
 	lost := strings.Fields(ids(b.Path(l)))[1]
 	is.True(b.SetDead(0, lost, true))
@@ -294,14 +293,14 @@
 	is.Equal(len(b.Repath(0, l, lost)), 2)
 }
 
-// TestLinksLast guards against full data centres that send each other their load
-// through the pipes.
+// TestLinksLast guards against full data centres that send each other their load through the
+// pipes.
 func TestLinksLast(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	crossed := 0
 	for n := 0; ; n++ {
-		l, reason := b.Acquire(0, need)
+		l, reason := b.Acquire(0, modelNeed)
 		if reason != balancer.ReasonNone {
 			t.Logf("%d requests fit, %d cross", n, crossed)
 			break
@@ -309,13 +308,12 @@
 		if b.Crosses(l) {
 			crossed++
 		} else {
-			is.Equal(crossed, 0) // no whole path was left when the first one crossed
+			is.Equal(crossed, 0) // paths inside one data centre are used up first
 		}
 	}
 }
 
-// TestLost guards against a run that counts as ended while its upstream may go on with
-// it.
+// TestLost guards against a run that counts as stopped while its upstream may still execute it.
 func TestLost(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
--- a/balancer/dead_test.go
+++ b/balancer/dead_test.go
@@ -9,9 +9,9 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// TestDeadInTurn guards against connections into a cut that grow with hosts times
-// upstreams.
-func TestDeadInTurn(t *testing.T) {
+// TestDeadRotation guards against connection attempts into a partition that grow with the
+// number of hosts times the number of upstreams.
+func TestDeadRotation(t *testing.T) {
 	is := is.New(t)
 	const cut, most = 33, 4
 	b := newBalancer()
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Member is an upstream with what this host saw of it.
+// Member is an upstream with this host's view of it.
 type Member struct {
 	Upstream
-	// Out is set while it can't be reached.
+	// Out is set while it is dead or ejected.
 	Out bool
-	// Streams are the requests whose path it is on, of all hosts.
+	// Streams counts the requests of all hosts whose path it is on.
 	Streams int
 }
 
-// Fleet lists the upstreams of services whose engines hold layers.
+// Fleet returns the upstreams of a service, sorted by address.
 func (b *Balancer) Fleet(now time.Duration, service string) []Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Member
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		if u.Service == service {
-			out = append(out, Member{Upstream: u.Upstream, Out: u.dead || u.outUntil > now, Streams: int(b.known(now, u).requests)})
+			out = append(out, Member{Upstream: u.Upstream, Out: u.dead || u.ejectedUntil > now, Streams: int(b.totalUsage(now, u).requests)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.Address, b.Address) })
@@ -31,29 +31,29 @@
 
 //go:generate enumer -type State -trimprefix State -transform lower -output state_gen.go
 
-// State is how an upstream stands.
+// State is the state of an upstream as this host sees it.
 type State int
 
-// The states; each upstream is in one.
+// The states. Each upstream is in exactly one.
 const (
 	// StateUsable upstreams take new work.
 	StateUsable State = iota
-	// StateEmpty ones would, but hold no layers of their model.
+	// StateEmpty upstreams could take new work but hold no layers of their model.
 	StateEmpty
-	// StateLeaving ones are going.
+	// StateLeaving upstreams take no new work and will end.
 	StateLeaving
-	// StateDead ones take no connection from this host.
+	// StateDead upstreams accept no connection from this host.
 	StateDead
-	// StateOut ones are left alone for a while.
+	// StateOut upstreams are ejected: they get no new work for a while.
 	StateOut
 )
 
-// Count returns how many upstreams are in a state.
+// Count returns the number of upstreams in a state.
 func (b *Balancer) Count(now time.Duration, state State) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		if b.state(now, u) == state {
 			n++
 		}
@@ -68,7 +68,7 @@
 		return StateLeaving
 	case u.dead:
 		return StateDead
-	case u.outUntil > now:
+	case u.ejectedUntil > now:
 		return StateOut
 	case s != nil && s.Engine != nil && s.Engine.Layers > 0 && u.Holds.Len() == 0:
 		return StateEmpty
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -6,107 +6,106 @@
 	"time"
 )
 
-// Begun notes the first event of a stream, Progress every further one.
+// Begun records the first event of a stream. Later events go to Progress.
 func (b *Balancer) Begun(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.first {
+	if l.started {
 		return
 	}
-	l.first = true
+	l.started = true
 	for _, h := range l.hops {
-		if u := b.ups[h.ID]; u != nil {
-			u.flows++
-			u.progressed = now
-			u.strikes, u.suspectUntil = 0, 0
+		if u := b.upstreams[h.ID]; u != nil {
+			u.activeStreams++
+			u.lastEventAt = now
+			u.ejections, u.suspectUntil = 0, 0
 		}
 	}
 }
 
-// Progress notes an event of a stream.
+// Progress records a further event of a stream.
 func (b *Balancer) Progress(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range l.hops {
-		if u := b.ups[h.ID]; u != nil {
-			u.progressed = now
+		if u := b.upstreams[h.ID]; u != nil {
+			u.lastEventAt = now
 		}
 	}
 }
 
 const (
-	// silenceOne is how long one stream may get no event before its upstreams
-	// are asked: five events, and well under the pause that callers expect at
-	// most. Over an upstream with more streams events come as many times more
-	// often, down to silenceLeast: streams that share a batch get theirs together,
-	// once in a pass over all engines of a path.
-	silenceOne   = 250 * time.Millisecond
-	silenceLeast = 60 * time.Millisecond
+	// maxSilenceOneStream is how long a single stream may get no event before its upstreams are
+	// probed: the time of five events, and well under the longest pause that callers accept.
+	// With more streams over an upstream, events come that many times as often, but the limit
+	// stays above minSilenceLimit: streams in one batch get their events together, once in a
+	// pass over all engines of a path.
+	maxSilenceOneStream = 250 * time.Millisecond
+	minSilenceLimit     = 60 * time.Millisecond
 )
 
-// Silent lists upstreams over which streams have begun and none has got an
-// event for longer than that many streams explain.
+// Silent returns the upstreams whose started streams have all got no event for longer than
+// their number explains.
 func (b *Balancer) Silent(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Hop
 	for _, u := range b.subset.used {
-		limit := max(silenceLeast, silenceOne/time.Duration(max(1, u.flows)))
-		if u.flows > 0 && !u.dead && now-u.progressed > limit {
+		limit := max(minSilenceLimit, maxSilenceOneStream/time.Duration(max(1, u.activeStreams)))
+		if u.activeStreams > 0 && !u.dead && now-u.lastEventAt > limit {
 			out = append(out, Hop{ID: u.ID, Address: u.Address})
 		}
 	}
 	return out
 }
 
-// Stuck lists the hops of a path over which no event has come since a time.
-// Streams that wait for their first event show a dead upstream that has no
-// other streams.
+// Stuck returns the hops of a path over which no event has come since a time. Streams that
+// still wait for their first event reveal a dead upstream that has no other streams.
 func (b *Balancer) Stuck(l *Lease, since time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Hop
 	for _, h := range l.hops {
-		if u := b.ups[h.ID]; u != nil && !u.dead && u.progressed < since {
+		if u := b.upstreams[h.ID]; u != nil && !u.dead && u.lastEventAt < since {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// Ended notes that an upstream refuses connections: its process is gone, while
-// one that merely does not answer may be at work.
+// Ended records that an upstream refuses connections, so that its process has ended. One that
+// merely doesn't answer may still be at work.
 func (b *Balancer) Ended(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if u := b.ups[id]; u != nil {
-		u.ended = true
+	if u := b.upstreams[id]; u != nil {
+		u.stopped = true
 	}
 }
 
-// Lost reports whether an upstream is surely at work no more: it is not listed,
-// or refuses connections.
+// Lost reports whether an upstream has certainly stopped work: it is not listed or refuses
+// connections.
 func (b *Balancer) Lost(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
-	return u == nil || u.ended
+	u := b.upstreams[id]
+	return u == nil || u.stopped
 }
 
-// Dead lists upstreams that take no connection, of each data centre at most some,
-// in turn: most of the time a whole data centre is out of reach, and one that
-// takes a connection again tells of all of it.
+// Dead returns upstreams that accept no connection, at most a given number for each data
+// centre, in rotation by turn. Most often a whole data centre is unreachable, and the first
+// upstream there that accepts a connection shows that all of it may be reachable again.
 func (b *Balancer) Dead(turn, most int) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	centres := make(map[string][]Hop)
+	byDataCentre := make(map[string][]Hop)
 	for _, u := range b.subset.used {
 		if u.dead {
-			centres[u.DataCentre] = append(centres[u.DataCentre], Hop{ID: u.ID, Address: u.Address})
+			byDataCentre[u.DataCentre] = append(byDataCentre[u.DataCentre], Hop{ID: u.ID, Address: u.Address})
 		}
 	}
 	var out []Hop
-	for _, dead := range centres {
+	for _, dead := range byDataCentre {
 		slices.SortFunc(dead, func(a, b Hop) int { return strings.Compare(a.ID, b.ID) })
 		for i := range min(most, len(dead)) {
 			out = append(out, dead[(turn*most+i)%len(dead)])
@@ -115,12 +114,11 @@
 	return out
 }
 
-// DeadBeside lists the upstreams of the data centre of one that take no
-// connection.
+// DeadBeside returns the dead upstreams in the same data centre, without the upstream itself.
 func (b *Balancer) DeadBeside(id string) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil {
 		return nil
 	}
@@ -133,171 +131,168 @@
 	return out
 }
 
-// SetDead notes whether an upstream takes connections. It reports whether that
-// was news.
+// SetDead records whether an upstream accepts connections. It reports whether that changed.
 func (b *Balancer) SetDead(now time.Duration, id string, dead bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil || u.dead == dead {
 		return false
 	}
 	u.dead = dead
 	b.subset.stale = true
 	if dead {
-		u.died = now
+		u.diedAt = now
 	} else {
-		u.ended = false
+		u.stopped = false
 	}
 	return true
 }
 
-// WentDown lists the upstreams that were found dead at about a time.
+// WentDown returns the ids of the upstreams that were found dead within a time around at.
 func (b *Balancer) WentDown(at, within time.Duration) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
 	for id, u := range b.subset.used {
-		if u.died > 0 && max(u.died-at, at-u.died) <= within {
+		if u.diedAt > 0 && max(u.diedAt-at, at-u.diedAt) <= within {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Born returns when an upstream was started, in Unix milliseconds; 0 when it is
-// not known.
+// Born returns when an upstream was started, in Unix milliseconds; 0 when it is not known.
 func (b *Balancer) Born(id string) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if u := b.ups[id]; u != nil {
+	if u := b.upstreams[id]; u != nil {
 		return u.Born
 	}
 	return 0
 }
 
-// together is the time within which the loss of two upstreams of one data centre
-// speaks of the way there.
-const together = time.Second
+// correlatedLossWindow is the time within which the loss of two upstreams of one data centre
+// points to the network path there.
+const correlatedLossWindow = time.Second
 
-// Suspects lists the other upstreams of the data centre of one that was found
-// dead, when another there was just before. A data centre that is cut off is
-// found one upstream after the other otherwise, each by streams that wait.
+// Suspects returns the upstreams, not known to be dead, in the data centre of one that was
+// found dead, if another one there was found dead just before. Otherwise streams would have
+// to time out on each upstream of a partitioned data centre in turn.
 func (b *Balancer) Suspects(now time.Duration, id string) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil {
 		return nil
 	}
 	var out []Hop
-	more := false
+	anotherDied := false
 	for _, v := range b.subset.used {
 		if v == u || v.DataCentre != u.DataCentre {
 			continue
 		}
 		if v.dead {
-			more = more || now-v.died < together
+			anotherDied = anotherDied || now-v.diedAt < correlatedLossWindow
 			continue
 		}
 		out = append(out, Hop{ID: v.ID, Address: v.Address})
 	}
-	if !more {
+	if !anotherDied {
 		return nil
 	}
 	return out
 }
 
 const (
-	// greyMemory is the weight of one more outcome: ten requests tell a third
-	// of failures from a slip.
-	greyMemory = 0.15
-	// outFirst and outMost bound how long an upstream that can't be reached is
-	// left alone; the list tells of its end after three heartbeats.
-	outFirst = 500 * time.Millisecond
-	outMost  = 4 * time.Second
-	// suspectMemory is how long after that it stays dearer than others: the list
-	// tells of its end by then.
-	suspectMemory = 4 * time.Second
+	// failureRateWeight is the weight of one more outcome in the moving average: ten requests
+	// are enough to tell a failure rate of a third from a single failure.
+	failureRateWeight = 0.15
+	// firstEjection and maxEjection bound how long an unreachable upstream is ejected. The list
+	// shows that it ended after three heartbeats.
+	firstEjection = 500 * time.Millisecond
+	maxEjection   = 4 * time.Second
+	// suspectDuration is how long the cost of an upstream stays raised after an ejection. The
+	// list shows by then whether it has ended.
+	suspectDuration = 4 * time.Second
 )
 
-// Served notes an answer of an upstream and what it said of its load.
+// Served records an answer of an upstream and the load that it reported; load may be nil.
 func (b *Balancer) Served(now time.Duration, id string, load *Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil {
 		return
 	}
-	u.strikes = 0
-	u.grey -= greyMemory * u.grey
+	u.ejections = 0
+	u.failureRate -= failureRateWeight * u.failureRate
 	if load != nil {
 		u.load, u.loadAt = *load, now
 	}
 }
 
-// Failed notes a request that an upstream failed but for which it stays in use.
+// Failed records a request that an upstream failed without being ejected for it.
 func (b *Balancer) Failed(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if u := b.ups[id]; u != nil {
-		u.grey += greyMemory * (1 - u.grey)
+	if u := b.upstreams[id]; u != nil {
+		u.failureRate += failureRateWeight * (1 - u.failureRate)
 	}
 }
 
-// Out takes an upstream that can't be reached out of use for a while, doubled
-// each time in a row. It reports whether it was in use.
+// Out ejects an unreachable upstream for a while, twice as long with each failure in a row. It
+// reports whether the upstream was in use.
 func (b *Balancer) Out(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
-	return u != nil && u.out(now)
+	u := b.upstreams[id]
+	return u != nil && u.eject(now)
 }
 
-// out is Out.
-func (u *upstream) out(now time.Duration) bool {
-	if u.outUntil > now {
+// eject implements Out.
+func (u *upstream) eject(now time.Duration) bool {
+	if u.ejectedUntil > now {
 		return false
 	}
-	u.outUntil = now + min(outMost, outFirst<<min(u.strikes, 4))
-	u.suspectUntil = u.outUntil + suspectMemory
-	u.strikes++
+	u.ejectedUntil = now + min(maxEjection, firstEjection<<min(u.ejections, 4))
+	u.suspectUntil = u.ejectedUntil + suspectDuration
+	u.ejections++
 	return true
 }
 
-// fullMemory is how long an upstream is kept fuller than this host's requests
-// make it: the time in which about a fifth of the streams there end.
-const fullMemory = 500 * time.Millisecond
+// hiddenUsageMemory is how long the usage revealed by a rejection is added to the reported
+// usage: the time in which about a fifth of the streams there end.
+const hiddenUsageMemory = 500 * time.Millisecond
 
-// turnedBelow is the part of its room up to which an upstream that turns a request
-// away surely has another reason: it is leaving or gives up layers, and the list
-// does not tell yet.
-const turnedBelow = 0.5
+// unexplainedRejectionBelow is the share of the capacity in use below which a rejection can't
+// be for lack of capacity: the upstream is leaving or unloads layers, and the list doesn't show
+// that yet.
+const unexplainedRejectionBelow = 0.5
 
-// Turned notes that an upstream turned a request away. One that should have had
-// room is left alone for a while; else other hosts fill it, or answers are longer
-// than expected.
+// Turned records that an upstream rejected a request. One that should have had capacity is
+// ejected for a while. Otherwise other hosts fill it, or answers are longer than expected, and
+// the difference counts as hidden usage.
 func (b *Balancer) Turned(now time.Duration, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil {
 		return
 	}
-	known := b.known(now, u).room
-	if known < turnedBelow*u.room {
-		u.out(now)
+	known := b.totalUsage(now, u).tokenLayers
+	if known < unexplainedRejectionBelow*u.capacity {
+		u.eject(now)
 		return
 	}
-	u.hidden = max(0, u.room-known)
-	u.fullAt = now
+	u.hiddenUsage = max(0, u.capacity-known)
+	u.rejectedAt = now
 }
 
-// filled are the token-layers that are thought to be taken of u's room, of which
-// known are told of.
-func (u *upstream) filled(now time.Duration, known float64) float64 {
-	if age := now - u.fullAt; age < fullMemory {
-		known += u.hidden * (1 - float64(age)/float64(fullMemory))
+// estimatedUsage adds what is left of the hidden usage to the known usage, in token-layers.
+func (u *upstream) estimatedUsage(now time.Duration, known float64) float64 {
+	if age := now - u.rejectedAt; age < hiddenUsageMemory {
+		known += u.hiddenUsage * (1 - float64(age)/float64(hiddenUsageMemory))
 	}
 	return known
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// handover is how long a host waits before it uses a limited upstream in place of
-	// another one: until that has heard that it is there, or its lease is over.
-	handover = 3 * time.Second
-	// limitNews is how long a change of a limit is told before all others.
-	limitNews = 2 * time.Second
+	// handoverDelay is how long a host waits before it uses a limited upstream in place of
+	// another host: until that one has heard of the change, or its lease has expired.
+	handoverDelay = 3 * time.Second
+	// limitNewsAge is how long a change of a limit is sent ahead of all other limits.
+	limitNewsAge = 2 * time.Second
 )
 
-// limit is what a host knows of the limit that an upstream names, and what it sent since.
+// limit is an upstream's rate limit with this host's share of it and what it has sent.
 type limit struct {
 	limiter.Limit
 	share  limiter.Share
 	bucket limiter.Bucket
-	// version and hosts are those that share was worked out for.
-	version, hosts int64
-	// from is when this host may use its share.
-	from time.Duration
-	// changed is when the limit last changed.
-	changed time.Duration
-	// unreadable is set once a limit came that can't be read.
+	// shareVersion and shareHostsVersion are the versions that share was computed for.
+	shareVersion, shareHostsVersion int64
+	// usableFrom is when this host may start to use its share.
+	usableFrom time.Duration
+	// changedAt is when the limit last changed.
+	changedAt time.Duration
+	// unreadable is set once the upstream has named a limit that can't be parsed.
 	unreadable bool
 }
 
-// LimitChange is the limit of an upstream before and after some news, in requests a
-// second; limiter.Unlimited is none.
+// LimitChange is an upstream's rate limit before and after a change, in requests a second;
+// limiter.Unlimited stands for no limit.
 type LimitChange struct {
 	Upstream, Address string
 	Was, Is           float64
-	// Age is how long ago an answer named it.
+	// Age is how long ago an answer last named the limit.
 	Age time.Duration
 }
 
-// String says what changed.
+// String describes the change for logs.
 func (ch *LimitChange) String() string {
 	switch {
 	case ch.Is == limiter.Unlimited:
@@ -66,14 +66,14 @@
 	}
 }
 
-// ObserveLimit takes in the requests a second that an answer of an incarnation of an
-// upstream names, limiter.Unlimited for none, to a request that was sent at sent. It
-// reports whether that changes anything.
+// ObserveLimit applies the rate limit that an answer of an upstream's incarnation names, in
+// requests a second; limiter.Unlimited for none. sent is when the request was sent. It reports
+// whether the limit changed.
 func (b *Balancer) ObserveLimit(now, sent time.Duration, id string, born int64, perSecond float64) (LimitChange, bool) {
 	return b.changeLimit(now, id, born, func(l *limiter.Limit) bool { return l.Observe(now, sent, perSecond) })
 }
 
-// MergeLimit takes in what another host knows. It reports whether that changes anything.
+// MergeLimit applies a limit as another host knows it. It reports whether the limit changed.
 func (b *Balancer) MergeLimit(now time.Duration, other UpstreamLimit) (LimitChange, bool) {
 	return b.changeLimit(now, other.Upstream, other.Born, func(l *limiter.Limit) bool { return l.Merge(now, other.Limit) })
 }
@@ -81,7 +81,7 @@
 func (b *Balancer) changeLimit(now time.Duration, id string, born int64, change func(l *limiter.Limit) bool) (LimitChange, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil || u.Born != born {
 		return LimitChange{}, false
 	}
@@ -90,24 +90,24 @@
 	if !change(&l.Limit) {
 		return LimitChange{}, false
 	}
-	l.changed = now
+	l.changedAt = now
 	if b.limited == nil {
 		b.limited = make(map[string]*upstream)
 	}
 	b.limited[id] = u
 	if l.Rate() < was {
-		// What was sent before counts as well.
+		// Requests that were sent before count against the lower limit as well.
 		l.bucket = limiter.NewBucket(now)
 	}
 	return LimitChange{Upstream: id, Address: u.Address, Was: was, Is: l.Rate(), Age: now - l.Heard}, true
 }
 
-// UnreadableLimit notes that an upstream named a limit which can't be read. It reports
+// UnreadableLimit records that an upstream named a limit that can't be parsed. It reports
 // whether that is the first one.
 func (b *Balancer) UnreadableLimit(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil || u.limit.unreadable {
 		return false
 	}
@@ -115,36 +115,35 @@
 	return true
 }
 
-// UpstreamLimit is what hosts tell each other of the limit of an incarnation of an
-// upstream.
+// UpstreamLimit is the rate limit of an upstream's incarnation, as hosts exchange it.
 type UpstreamLimit struct {
 	Upstream string
-	// Born is when it was started, in Unix milliseconds.
+	// Born is when the incarnation was started, in Unix milliseconds.
 	Born int64
 	limiter.Limit
 }
 
-// Limits lists what is known of limits, at most some: those that changed a moment ago,
-// then others drawn at random, so that all are told in some exchanges.
+// Limits returns at most a given number of the known limits: recently changed ones first, then
+// others drawn at random, so that all are sent within some exchanges.
 func (b *Balancer) Limits(now time.Duration, most int) []UpstreamLimit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var news, rest []UpstreamLimit
+	var recent, rest []UpstreamLimit
 	for id, u := range b.limited {
 		one := UpstreamLimit{Upstream: id, Born: u.Born, Limit: u.limit.Limit}
-		if now-u.limit.changed <= limitNews {
-			news = append(news, one)
+		if now-u.limit.changedAt <= limitNewsAge {
+			recent = append(recent, one)
 		} else {
 			rest = append(rest, one)
 		}
 	}
-	slices.SortFunc(news, func(a, b UpstreamLimit) int { return strings.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(recent, func(a, b UpstreamLimit) int { return strings.Compare(a.Upstream, b.Upstream) })
 	rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	out := slices.Concat(news, rest)
+	out := slices.Concat(recent, rest)
 	return out[:min(most, len(out))]
 }
 
-// LimitCount is how many upstreams name a limit.
+// LimitCount returns the number of upstreams that name a limit.
 func (b *Balancer) LimitCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,97 +156,97 @@
 	return n
 }
 
-// LimitedSent is how many requests went to upstreams while they named a limit.
+// LimitedSent returns the number of requests sent to upstreams with a limit in force.
 func (b *Balancer) LimitedSent() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limitedSent
 }
 
-// permitted reports whether a limited upstream may be sent a request now. begun is for
-// one that has to go on.
-func (b *Balancer) permitted(now time.Duration, u *upstream, begun bool) bool {
+// withinLimit reports whether the limit of an upstream allows a request now. begun is set for a
+// request that has to go on.
+func (b *Balancer) withinLimit(now time.Duration, u *upstream, begun bool) bool {
 	l := &u.limit
 	if !l.InForce() {
 		return true
 	}
-	b.divide(now, u)
-	return now >= l.from && l.bucket.Has(now, l.share, begun)
+	b.updateShare(now, u)
+	return now >= l.usableFrom && l.bucket.Has(now, l.share, begun)
 }
 
-// noteSent counts a request to an upstream against its limit.
-func (b *Balancer) noteSent(now time.Duration, u *upstream) {
+// countSent counts a sent request against the limit of its upstream.
+func (b *Balancer) countSent(now time.Duration, u *upstream) {
 	if u.limit.InForce() {
 		u.limit.bucket.Take(now, u.limit.share)
 		b.limitedSent++
 	}
 }
 
-// noteHeld counts a request that did not go to some upstreams for their limit.
-func (b *Balancer) noteHeld(held []string) {
-	if len(held) > 0 {
-		b.heldOff++
+// countThrottled counts a request that skipped upstreams because of their limit.
+func (b *Balancer) countThrottled(throttled []string) {
+	if len(throttled) > 0 {
+		b.throttledCount++
 	}
 }
 
-// HeldOff is how many requests did not go to an upstream since its limit had no room.
+// HeldOff returns the number of requests that skipped an upstream for lack of limit capacity.
 func (b *Balancer) HeldOff() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.heldOff
+	return b.throttledCount
 }
 
-// MayAsk reports whether an upstream may be asked something beside requests. Questions
-// count against its limit, which ends with its entry.
+// MayAsk reports whether an upstream may be sent a probe, and counts it against the limit. A
+// limit ends with the list entry, so that an upstream without one may always be probed.
 func (b *Balancer) MayAsk(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	return u == nil || b.takePermit(now, u)
 }
 
-// takePermit is permitted for something that is sent then.
+// takePermit reports whether the limit allows a request now, and counts one if so.
 func (b *Balancer) takePermit(now time.Duration, u *upstream) bool {
-	if !b.permitted(now, u, false) {
+	if !b.withinLimit(now, u, false) {
 		return false
 	}
-	b.noteSent(now, u)
+	b.countSent(now, u)
 	return true
 }
 
-// divide works out this host's share of a limit where the limit or the hosts changed.
-func (b *Balancer) divide(now time.Duration, u *upstream) {
+// updateShare recomputes this host's share if the limit or the hosts have changed.
+func (b *Balancer) updateShare(now time.Duration, u *upstream) {
 	l := &u.limit
-	if b.hostsNoted != b.hostsVersion {
-		b.hostsNoted, b.hostsAt = b.hostsVersion, now
+	if b.hostsVersionSeen != b.hostsVersion {
+		b.hostsVersionSeen, b.hostsChangedAt = b.hostsVersion, now
 	}
-	if l.version == l.Version && l.hosts == b.hostsVersion {
+	if l.shareVersion == l.Version && l.shareHostsVersion == b.hostsVersion {
 		return
 	}
-	first, had := l.version == 0, l.share.PerSecond > 0
+	first, had := l.shareVersion == 0, l.share.PerSecond > 0
 	place, hosts := b.placeFor(u)
 	l.share = limiter.ShareOf(l.PerSecond, place, hosts)
 	switch {
 	case first && b.hostsVersion > 0:
-		l.from = b.hostsAt + handover
-	case !had && l.hosts != b.hostsVersion:
-		l.from = now + handover
+		l.usableFrom = b.hostsChangedAt + handoverDelay
+	case !had && l.shareHostsVersion != b.hostsVersion:
+		l.usableFrom = now + handoverDelay
 	}
-	l.version, l.hosts = l.Version, b.hostsVersion
+	l.shareVersion, l.shareHostsVersion = l.Version, b.hostsVersion
 }
 
-// placeFor is this host's place among those that may use a limited upstream, and how many
-// these are: the hosts of its data centre, all where that has none. It is by rendezvous
-// hashing, so that one that comes or goes changes the place of few.
+// placeFor returns this host's place among the hosts that may use a limited upstream, and their
+// number. These are the hosts of its data centre, or all hosts where that has none. Rendezvous
+// hashing sets the order, so that a host that joins or leaves changes the place of few others.
 func (b *Balancer) placeFor(u *upstream) (place, hosts int) {
-	near := b.hosts[u.DataCentre] > 0 || b.DataCentre == u.DataCentre
-	if near && b.DataCentre != u.DataCentre {
-		return len(b.hostNames) + 1, b.hosts[u.DataCentre]
+	nearby := b.hostCounts[u.DataCentre] > 0 || b.DataCentre == u.DataCentre
+	if nearby && b.DataCentre != u.DataCentre {
+		return len(b.hostDataCentres) + 1, b.hostCounts[u.DataCentre]
 	}
 	own := rankOf(b.Host, u.ID)
 	hosts = 1
-	for name, dc := range b.hostNames {
-		if near && dc != u.DataCentre {
+	for name, dc := range b.hostDataCentres {
+		if nearby && dc != u.DataCentre {
 			continue
 		}
 		hosts++
@@ -258,8 +257,8 @@
 	return place, hosts
 }
 
-// LimitWait is when some upstream of a service has room within its limit again, or when
-// another host may, by what this one knows.
+// LimitWait returns the time until some upstream of the service has capacity within its limit
+// again, or until another host may have, as far as this host knows. 0 means that none is limited.
 func (b *Balancer) LimitWait(now time.Duration, service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -268,12 +267,12 @@
 		if u.Service != service || !u.limit.InForce() || !u.usable(now, nil) {
 			continue
 		}
-		b.divide(now, u)
+		b.updateShare(now, u)
 		wait, ok := u.limit.bucket.Wait(now, u.limit.share)
 		if !ok {
 			wait = limiter.Interval(u.limit.PerSecond)
 		}
-		wait = max(wait, u.limit.from-now)
+		wait = max(wait, u.limit.usableFrom-now)
 		if out == 0 || wait < out {
 			out = wait
 		}
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -11,25 +11,25 @@
 	"github.com/sardineward/sardineward/matcher"
 )
 
-const named = 10 * time.Second
+const limitNamedAt = 10 * time.Second
 
-// limited is a balancer whose upstreams name a limit at named.
-func limited(t *testing.T, hosts map[string]string, perSecond float64, ids ...string) *balancer.Balancer {
+// newLimitedBalancer returns a balancer whose given upstreams name a limit at limitNamedAt.
+func newLimitedBalancer(t *testing.T, hosts map[string]string, perSecond float64, ids ...string) *balancer.Balancer {
 	t.Helper()
 	b := newBalancer()
 	b.Host = "self"
 	b.SetHosts(hosts)
 	b.Acquire(0, balancer.Need{Service: "desk"})
 	for _, id := range ids {
-		_, changed := b.ObserveLimit(named, named, id, 0, perSecond)
+		_, changed := b.ObserveLimit(limitNamedAt, limitNamedAt, id, 0, perSecond)
 		is.New(t).True(changed)
 	}
 	return b
 }
 
-// sentTo counts requests over some seconds, twenty a second, by their first upstream; ""
-// is none.
-func sentTo(b *balancer.Balancer, from time.Duration, seconds int, n balancer.Need) map[string]int {
+// countByFirstHop sends twenty requests a second for some seconds and counts them by their first
+// hop; "" counts refusals.
+func countByFirstHop(b *balancer.Balancer, from time.Duration, seconds int, n balancer.Need) map[string]int {
 	out := make(map[string]int)
 	for i := range seconds * 20 {
 		l, _ := b.Acquire(from+time.Duration(i)*50*ms, n)
@@ -43,64 +43,64 @@
 	return out
 }
 
-// TestLimitedStages guards against a limited first stage that gets more than its limit, and
-// against paths that leave out a stage that is not sent the request itself.
+// TestLimitedStages guards against a limited first stage that gets more than its limit, and against
+// paths that avoid a limited later stage, which isn't sent requests itself.
 func TestLimitedStages(t *testing.T) {
 	t.Run("first stage", func(t *testing.T) {
 		is := is.New(t)
-		b := limited(t, nil, 2, "a1")
-		got := sentTo(b, named, 20, need)
+		b := newLimitedBalancer(t, nil, 2, "a1")
+		got := countByFirstHop(b, limitNamedAt, 20, modelNeed)
 		is.True(got["a1"] >= 35 && got["a1"] <= 44)
-		is.Equal(got[""], 0) // the rest goes to the other data centre
+		is.Equal(got[""], 0) // the other data centre gets the rest
 		is.True(b.HeldOff() > 300)
 		is.Equal(b.LimitedSent(), int64(got["a1"]))
 	})
 	t.Run("later stage", func(t *testing.T) {
-		b := limited(t, nil, 2, "a2")
-		is.New(t).Equal(sentTo(b, named, 5, need)["a1"], 100)
+		b := newLimitedBalancer(t, nil, 2, "a2")
+		is.New(t).Equal(countByFirstHop(b, limitNamedAt, 5, modelNeed)["a1"], 100)
 	})
 	t.Run("all first stages", func(t *testing.T) {
 		is := is.New(t)
-		b := limited(t, nil, 2, "a1", "b1")
+		b := newLimitedBalancer(t, nil, 2, "a1", "b1")
 		var reason balancer.Reason
 		for range 10 {
-			_, reason = b.Acquire(named+10*time.Second, need)
+			_, reason = b.Acquire(limitNamedAt+10*time.Second, modelNeed)
 		}
 		is.Equal(reason, balancer.ReasonLimit)
-		wait := b.LimitWait(named+10*time.Second, "model")
+		wait := b.LimitWait(limitNamedAt+10*time.Second, "model")
 		is.True(wait > 0 && wait <= time.Second)
-		_, reason = b.Acquire(named+10*time.Second+wait, need)
-		is.Equal(reason, balancer.ReasonNone) // the time to come back was right
+		_, reason = b.Acquire(limitNamedAt+10*time.Second+wait, modelNeed)
+		is.Equal(reason, balancer.ReasonNone) // LimitWait named the right time
 	})
-	t.Run("stream that goes on", func(t *testing.T) {
+	t.Run("stream in progress", func(t *testing.T) {
 		is := is.New(t)
-		b := limited(t, nil, 2, "a1", "b1")
-		for l, _ := b.Acquire(named+10*time.Second, need); l != nil; l, _ = b.Acquire(named+10*time.Second, need) {
+		b := newLimitedBalancer(t, nil, 2, "a1", "b1")
+		for l, _ := b.Acquire(limitNamedAt+10*time.Second, modelNeed); l != nil; l, _ = b.Acquire(limitNamedAt+10*time.Second, modelNeed) {
 			b.Release(l)
 		}
-		begun := need
+		begun := modelNeed
 		begun.Begun = true
-		_, reason := b.Acquire(named+10*time.Second, begun)
+		_, reason := b.Acquire(limitNamedAt+10*time.Second, begun)
 		is.Equal(reason, balancer.ReasonNone)
 	})
-	t.Run("questions count", func(t *testing.T) {
+	t.Run("probes count", func(t *testing.T) {
 		is := is.New(t)
-		b := limited(t, nil, 1, "a1")
+		b := newLimitedBalancer(t, nil, 1, "a1")
 		asked := 0
 		for i := range 200 {
-			if b.MayAsk(named+time.Duration(i)*50*ms, "a1") {
+			if b.MayAsk(limitNamedAt+time.Duration(i)*50*ms, "a1") {
 				asked++
 			}
 		}
 		is.True(asked >= 8 && asked <= 14)
-		is.True(b.MayAsk(named, "a2"))
+		is.True(b.MayAsk(limitNamedAt, "a2"))
 	})
 }
 
 // TestLimitOfIncarnation guards against a limit that outlives the process that named it.
 func TestLimitOfIncarnation(t *testing.T) {
 	is := is.New(t)
-	b := limited(t, nil, 0, "adesk")
+	b := newLimitedBalancer(t, nil, 0, "adesk")
 	list := b.Listed()
 	for i := range list {
 		if list[i].ID == "adesk" {
@@ -109,60 +109,58 @@
 	}
 	b.List(list, nil)
 	is.Equal(b.LimitCount(), 0)
-	is.Equal(sentTo(b, named, 1, balancer.Need{Service: "desk"})["adesk"], 20)
-	_, changed := b.ObserveLimit(named, named, "adesk", 0, 3) // an answer of the one before
+	is.Equal(countByFirstHop(b, limitNamedAt, 1, balancer.Need{Service: "desk"})["adesk"], 20)
+	_, changed := b.ObserveLimit(limitNamedAt, limitNamedAt, "adesk", 0, 3) // an answer of the previous incarnation
 	is.True(!changed)
-	told := balancer.UpstreamLimit{Upstream: "adesk", Limit: limiter.Limit{Version: 1, PerSecond: 3}}
-	_, changed = b.MergeLimit(named, told)
+	received := balancer.UpstreamLimit{Upstream: "adesk", Limit: limiter.Limit{Version: 1, PerSecond: 3}}
+	_, changed = b.MergeLimit(limitNamedAt, received)
 	is.True(!changed)
 	b.List(nil, []string{"adesk"})
-	is.Equal(len(b.Limits(named, 10)), 0)
+	is.Equal(len(b.Limits(limitNamedAt, 10)), 0)
 }
 
-// TestLimitHandover guards against a host that comes, or is left, and at once sends beside
-// the one that it takes the place of.
+// TestLimitHandover guards against a host that joins, or is the last one left, and sends at once
+// beside the host whose place it takes.
 func TestLimitHandover(t *testing.T) {
 	n := balancer.Need{Service: "desk"}
-	far := map[string]string{"other": "b"}
+	otherHosts := map[string]string{"other": "b"}
 	t.Run("alone in the data centre", func(t *testing.T) {
-		got := sentTo(limited(t, far, 1, "adesk", "bdesk"), named, 20, n)
+		got := countByFirstHop(newLimitedBalancer(t, otherHosts, 1, "adesk", "bdesk"), limitNamedAt, 20, n)
 		is := is.New(t)
 		is.True(got["adesk"] >= 15)
-		is.Equal(got["bdesk"], 0) // the hosts of its data centre use it
+		is.Equal(got["bdesk"], 0) // left to the hosts of its data centre
 	})
-	t.Run("the other data centre has no host any more", func(t *testing.T) {
+	t.Run("the other data centre has lost its hosts", func(t *testing.T) {
 		is := is.New(t)
-		b := limited(t, far, 1, "adesk", "bdesk")
-		sentTo(b, named, 5, n)
+		b := newLimitedBalancer(t, otherHosts, 1, "adesk", "bdesk")
+		countByFirstHop(b, limitNamedAt, 5, n)
 		b.SetHosts(nil)
-		is.Equal(sentTo(b, named+5*time.Second, 2, n)["bdesk"], 0)
-		is.True(sentTo(b, named+7*time.Second, 20, n)["bdesk"] > 10)
+		is.Equal(countByFirstHop(b, limitNamedAt+5*time.Second, 2, n)["bdesk"], 0)
+		is.True(countByFirstHop(b, limitNamedAt+7*time.Second, 20, n)["bdesk"] > 10)
 	})
 	t.Run("just started", func(t *testing.T) {
 		is := is.New(t)
 		b := newBalancer()
 		b.Host = "self"
-		b.SetHosts(far)
-		told := balancer.UpstreamLimit{Upstream: "adesk", Limit: limiter.Limit{Version: 1, PerSecond: 1}}
-		_, changed := b.MergeLimit(named, told)
+		b.SetHosts(otherHosts)
+		received := balancer.UpstreamLimit{Upstream: "adesk", Limit: limiter.Limit{Version: 1, PerSecond: 1}}
+		_, changed := b.MergeLimit(limitNamedAt, received)
 		is.True(changed)
-		is.Equal(sentTo(b, named, 2, n)["adesk"], 0)
-		is.True(sentTo(b, named+2*time.Second, 20, n)["adesk"] > 10)
+		is.Equal(countByFirstHop(b, limitNamedAt, 2, n)["adesk"], 0)
+		is.True(countByFirstHop(b, limitNamedAt+2*time.Second, 20, n)["adesk"] > 10)
 	})
 }
 
-// TestUnreadableLimit guards against a log line for each answer with a value that can't be
-// read.
+// TestUnreadableLimit guards against a log line for each answer whose limit can't be parsed.
 func TestUnreadableLimit(t *testing.T) {
 	is := is.New(t)
-	b := limited(t, nil, 2, "a1")
+	b := newLimitedBalancer(t, nil, 2, "a1")
 	is.True(b.UnreadableLimit("a1"))
 	is.True(!b.UnreadableLimit("a1"))
-	is.Equal(b.LimitCount(), 1) // as it was
+	is.Equal(b.LimitCount(), 1) // unchanged
 }
 
-// TestManyLimits guards against limits that are never told since there are too many for
-// one exchange.
+// TestManyLimits guards against limits that are never sent because one exchange can't hold all.
 func TestManyLimits(t *testing.T) {
 	is := is.New(t)
 	b := &balancer.Balancer{DataCentre: "a"}
@@ -173,17 +171,17 @@
 	}
 	b.List(list, nil)
 	for _, u := range list {
-		b.ObserveLimit(named, named, u.ID, 0, 2)
+		b.ObserveLimit(limitNamedAt, limitNamedAt, u.ID, 0, 2)
 	}
-	told := make(map[string]bool)
+	sent := make(map[string]bool)
 	for range 80 {
-		some := b.Limits(named+time.Minute, 64)
+		some := b.Limits(limitNamedAt+time.Minute, 64)
 		is.Equal(len(some), 64)
 		for _, l := range some {
-			told[l.Upstream] = true
+			sent[l.Upstream] = true
 		}
 	}
-	is.Equal(len(told), 500)
-	b.ObserveLimit(named+time.Minute, named+time.Minute, list[7].ID, 0, 1)
-	is.Equal(b.Limits(named+time.Minute, 64)[0].Upstream, list[7].ID) // news first
+	is.Equal(len(sent), 500)
+	b.ObserveLimit(limitNamedAt+time.Minute, limitNamedAt+time.Minute, list[7].ID, 0, 1)
+	is.Equal(b.Limits(limitNamedAt+time.Minute, 64)[0].Upstream, list[7].ID) // recent changes come first
 }
--- a/balancer/pace.go
+++ b/balancer/pace.go
@@ -3,89 +3,89 @@
 import "time"
 
 const (
-	// paceAge is how long a reported pace is believed, and paceRest how long an
-	// engine is not asked again by anybody.
-	paceAge  = 3 * time.Second
-	paceRest = time.Second
-	// paceNews is the change of pace, as a ratio, that is worth a word.
-	paceNews = 1.5
-	// slowLeast is how many slow events within slowWindow make an engine one to
-	// ask: a single stream that waited says little of a path of a dozen.
-	slowLeast  = 3
-	slowWindow = time.Second
+	// maxPaceAge is how long a reported pace is used. paceQueryInterval is how long an engine is
+	// left alone after this host has queried it.
+	maxPaceAge        = 3 * time.Second
+	paceQueryInterval = time.Second
+	// paceChangeRatio is the ratio between two paces from which a change is reported.
+	paceChangeRatio = 1.5
+	// minSlowEvents is the number of slow events within slowWindow from which an engine is
+	// queried: a single slow stream says little about a path of a dozen engines.
+	minSlowEvents = 3
+	slowWindow    = time.Second
 )
 
-// Slow notes an event of a stream that came late for no reason that is known: its
-// path was not changed. One of its upstreams may take longer than it should.
+// Slow records an event of a stream that came late although its path had not changed. One of
+// its upstreams may be slower than declared.
 func (b *Balancer) Slow(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range l.hops {
-		u := b.ups[h.ID]
+		u := b.upstreams[h.ID]
 		if u == nil {
 			continue
 		}
 		if now-u.slowSince > slowWindow {
-			u.slow, u.slowSince = 0, now
+			u.slowEvents, u.slowSince = 0, now
 		}
-		u.slow++
+		u.slowEvents++
 	}
 }
 
-// Ask lists the upstreams whose pace is to be asked for: those over which events
-// came late just now, and those known to be slow, unless some host asked a moment
-// ago. Questions are paid for; on a calm day there is none.
+// Ask returns the upstreams to query for their pace: those over which events came late just now
+// and that no other host has reported on, and those known to be slow. Queries count against rate
+// limits; without late events there are none.
 func (b *Balancer) Ask(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Hop
 	for _, u := range b.subset.used {
-		others := b.reported(now, u)
-		tellers := int64(0)
+		others := b.reportedUsage(now, u)
+		reporters := int64(0)
 		if others != nil {
-			tellers = others.Paced
+			reporters = others.Paced
 		}
-		rested := u.paceAt == 0 || now-u.paceAt >= paceRest
-		late := u.slow >= slowLeast && now-u.slowSince <= 2*slowWindow && tellers == 0
-		// Of the hosts that know it to be slow one at a time asks again, on average.
-		again := u.ownPace(now) > 1 && b.Rand.Float64()*float64(tellers+1) < 1
-		if rested && (late || again) && b.takePermit(now, u) {
+		due := u.paceAt == 0 || now-u.paceAt >= paceQueryInterval
+		late := u.slowEvents >= minSlowEvents && now-u.slowSince <= 2*slowWindow && reporters == 0
+		// Of the hosts that know it to be slow, one on average queries it again.
+		again := u.ownPace(now) > 1 && b.Rand.Float64()*float64(reporters+1) < 1
+		if due && (late || again) && b.takePermit(now, u) {
 			out = append(out, Hop{ID: u.ID, Address: u.Address})
 		}
 	}
 	return out
 }
 
-// SetPace notes how many times as long as its kind of accelerator an upstream
-// takes for its work. It reports whether that differs much from before.
+// SetPace records by what factor an upstream is slower than its kind of accelerator. It reports
+// whether that differs much from before.
 func (b *Balancer) SetPace(now time.Duration, id string, pace float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.ups[id]
+	u := b.upstreams[id]
 	if u == nil {
 		return false
 	}
 	old := max(1, u.pace)
 	u.pace, u.paceAt = max(1, pace), now
-	return u.pace > old*paceNews || old > u.pace*paceNews
+	return u.pace > old*paceChangeRatio || old > u.pace*paceChangeRatio
 }
 
-// ownPace is what this host knows of an upstream's pace from its reports; 0 is
-// nothing.
+// ownPace returns the pace that the upstream last reported to this host; 0 when there is none
+// or it is too old.
 func (u *upstream) ownPace(now time.Duration) float64 {
-	if u.paceAt == 0 || now-u.paceAt > paceAge {
+	if u.paceAt == 0 || now-u.paceAt > maxPaceAge {
 		return 0
 	}
 	return u.pace
 }
 
-// pace is how many times as long as its kind of accelerator an upstream takes, by
-// this host's own question or by the highest that others reported.
+// pace returns by what factor an upstream is slower than its kind of accelerator: as it told
+// this host, else the highest that another host reported, else 1.
 func (b *Balancer) pace(now time.Duration, u *upstream) float64 {
 	if own := u.ownPace(now); own > 0 {
 		return own
 	}
-	if sum := b.reported(now, u); sum != nil {
+	if sum := b.reportedUsage(now, u); sum != nil {
 		return max(1, sum.Pace)
 	}
 	return 1
--- a/balancer/pace_test.go
+++ b/balancer/pace_test.go
@@ -10,14 +10,13 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// over is the share of some requests whose path goes over an upstream; none of them
-// ends meanwhile.
-func over(t *testing.T, b *balancer.Balancer, now time.Duration, id string) float64 {
+// shareOver returns the share of some concurrent requests whose path goes over an upstream.
+func shareOver(t *testing.T, b *balancer.Balancer, now time.Duration, id string) float64 {
 	t.Helper()
 	const requests = 60
 	n := 0
 	for range requests {
-		l := acquire(t, b, now, need)
+		l := acquire(t, b, now, modelNeed)
 		if slices.ContainsFunc(b.Path(l), func(h balancer.Hop) bool { return h.ID == id }) {
 			n++
 		}
@@ -25,26 +24,26 @@
 	return float64(n) / requests
 }
 
-// TestSlowEngine guards against a slow engine that is given as much as fast ones.
+// TestSlowEngine guards against a slow engine that gets as much work as fast ones.
 func TestSlowEngine(t *testing.T) {
 	const slow = "5-1"
-	t.Run("reported", func(t *testing.T) {
+	t.Run("reported to this host", func(t *testing.T) {
 		is := is.New(t)
-		b := hosts(1)[0]
+		b := newHosts(1)[0]
 		is.True(b.SetPace(time.Second, slow, 12))
-		is.True(over(t, b, 2*time.Second, slow) <= 1.0/30)
+		is.True(shareOver(t, b, 2*time.Second, slow) <= 1.0/30)
 	})
-	t.Run("heard", func(t *testing.T) {
+	t.Run("reported by another host", func(t *testing.T) {
 		is := is.New(t)
-		all := hosts(2)
+		all := newHosts(2)
 		is.True(all[0].SetPace(time.Second, slow, 12))
-		share(time.Second, all)
-		is.True(over(t, all[1], 2*time.Second, slow) <= 1.0/30)
+		exchangeReports(time.Second, all)
+		is.True(shareOver(t, all[1], 2*time.Second, slow) <= 1.0/30)
 	})
-	t.Run("forgotten", func(t *testing.T) {
+	t.Run("expired report", func(t *testing.T) {
 		is := is.New(t)
-		b := hosts(1)[0]
+		b := newHosts(1)[0]
 		is.True(b.SetPace(time.Second, slow, 12))
-		is.True(over(t, b, 20*time.Second, slow) > 1.0/6)
+		is.True(shareOver(t, b, 20*time.Second, slow) > 1.0/6)
 	})
 }
--- a/balancer/path_bench_test.go
+++ b/balancer/path_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// BenchmarkAcquire is one choice of a path, with what all other hosts have in
-// flight over every upstream known.
+// BenchmarkAcquire measures one choice of a path while every other host reports requests in
+// flight over every upstream.
 func BenchmarkAcquire(b *testing.B) {
 	for _, size := range []struct{ upstreams, hosts int }{{40, 4}, {100, 25}, {200, 25}, {205, 119}, {205, 300}, {1000, 100}, {3000, 300}} {
 		b.Run(fmt.Sprintf("%d upstreams %d hosts", size.upstreams, size.hosts), func(b *testing.B) {
@@ -27,7 +27,7 @@
 				usage = append(usage, balancer.Usage{Upstream: id, Requests: min(1, 119/int64(size.hosts)), Room: 24000 / int64(size.hosts)})
 			}
 			bal.List(list, nil)
-			bal.SetHosts(hostsIn(size.hosts))
+			bal.SetHosts(hostDataCentres(size.hosts))
 			for h := range size.hosts - 1 {
 				if err := bal.SetReport(time.Second, fmt.Sprint("h", h), balancer.Report{Hosts: map[string]int{"dc0": 1}, Usage: usage}); err != nil {
 					b.Fatal(err)
@@ -35,7 +35,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				l, reason := bal.Acquire(time.Second, need)
+				l, reason := bal.Acquire(time.Second, modelNeed)
 				if reason != balancer.ReasonNone {
 					b.Fatal(reason)
 				}
@@ -45,8 +45,8 @@
 	}
 }
 
-// hostsIn are hosts in three data centres.
-func hostsIn(n int) map[string]string {
+// hostDataCentres returns n hosts spread over three data centres.
+func hostDataCentres(n int) map[string]string {
 	out := make(map[string]string)
 	for i := range n {
 		out[fmt.Sprint("host", i)] = fmt.Sprint("dc", i%3)
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -10,55 +10,54 @@
 	"time"
 )
 
-// Usage is what one or more hosts have in flight over an upstream, and what they
-// saw of it.
+// Usage is what one or more hosts have in flight over an upstream, and what they observed of it.
 type Usage struct {
 	Upstream string
-	// Requests are those whose path the upstream is on.
+	// Requests counts the requests whose path the upstream is on.
 	Requests int64
-	// Room is what they take there, in tokens times layers.
+	// Room is the capacity that they take there, in tokens times layers.
 	Room int64
-	// Dead counts the hosts to which it takes no connection, Suspected those that
-	// took it out of use within some seconds and were served nothing there since.
+	// Dead counts the hosts from which it accepts no connection. Suspected counts the hosts that
+	// ejected it some seconds ago and have started no stream over it since.
 	Dead, Suspected int64
-	// Pace is how many times as long as its kind of accelerator it takes, the
-	// highest that it reported to one of the Paced hosts; 0 where Paced is.
+	// Pace is the highest factor by which it is slower than its kind of accelerator that it
+	// reported to one of the Paced hosts; 0 where Paced is 0.
 	Pace  float64
 	Paced int64
 }
 
-// Bounds of what one report may say of an upstream.
+// Upper bounds of the values that one report may have for an upstream.
 const (
-	mostRequests = 1 << 20
-	mostRoom     = 1 << 40 // tokens times layers
-	mostPace     = 1000.0
-	mostHosts    = 1 << 14
+	maxRequests    = 1 << 20
+	maxTokenLayers = 1 << 40 // tokens times layers
+	maxPace        = 1000.0
+	maxHosts       = 1 << 14
 )
 
-// UsageError is a figure in a report that can't be.
+// UsageError is a value in a report that is out of range.
 type UsageError struct {
 	Upstream, Field string
 	Value           float64
 }
 
-// Error names the figure.
+// Error names the upstream, the field and the value.
 func (e *UsageError) Error() string {
-	return fmt.Sprintf("balancer: impossible %s %g of upstream %q", e.Field, e.Value, e.Upstream)
+	return fmt.Sprintf("balancer: %s %g out of range in report of upstream %q", e.Field, e.Value, e.Upstream)
 }
 
-// Check returns an *UsageError for the first figure that can't be.
+// Check returns a *UsageError for the first value that is out of range.
 func (u *Usage) Check() error {
 	for _, f := range []struct {
 		name  string
 		value float64
 		most  float64
 	}{
-		{"requests", float64(u.Requests), mostRequests},
-		{"room", float64(u.Room), mostRoom},
-		{"dead", float64(u.Dead), mostHosts},
-		{"suspected", float64(u.Suspected), mostHosts},
-		{"paced", float64(u.Paced), mostHosts},
-		{"pace", u.Pace, mostPace},
+		{"requests", float64(u.Requests), maxRequests},
+		{"room", float64(u.Room), maxTokenLayers},
+		{"dead", float64(u.Dead), maxHosts},
+		{"suspected", float64(u.Suspected), maxHosts},
+		{"paced", float64(u.Paced), maxHosts},
+		{"pace", u.Pace, maxPace},
 	} {
 		if f.value < 0 || f.value > f.most || math.IsNaN(f.value) {
 			return &UsageError{u.Upstream, f.name, f.value}
@@ -67,12 +66,12 @@
 	return nil
 }
 
-// empty reports whether there is nothing to tell.
+// empty reports whether there is nothing to report.
 func (u *Usage) empty() bool {
 	return u.Requests == 0 && u.Room == 0 && u.Dead == 0 && u.Suspected == 0 && u.Paced == 0
 }
 
-// add adds a part, subtract takes it away again but for Pace, which is a maximum.
+// add adds a part to the sum.
 func (u *Usage) add(part *Usage) {
 	u.Requests += part.Requests
 	u.Room += part.Room
@@ -90,30 +89,30 @@
 	u.Paced -= part.Paced
 }
 
-// Report is the usage of one host, or the sum over some.
+// Report is the usage of one host, or the sum over several hosts.
 type Report struct {
-	// Hosts counts the hosts that are in it, by data centre.
+	// Hosts counts the hosts that the report covers, by data centre.
 	Hosts map[string]int
 	Usage []Usage
 }
 
-// reportAge is how long a report is believed: some exchanges, and about as long as
-// a stream lasts.
-const reportAge = 1500 * time.Millisecond
+// maxReportAge is how long a report is used: some exchanges, and about as long as a stream
+// lasts.
+const maxReportAge = 1500 * time.Millisecond
 
-// reports are what other hosts reported, each under the name of its source, with
-// their sum kept up to date: what a choice costs does not grow with hosts. No
-// host is in two of them.
+// reports holds the reports of other hosts by the name of their source and keeps their sum up to
+// date, so that the cost of a choice doesn't grow with the number of hosts. No host is covered by
+// two reports.
 type reports struct {
 	bySource map[string]*report
 	sum      map[string]*Usage
-	// hosts counts the hosts in all reports, by data centre.
+	// hosts counts the hosts that the reports cover, by data centre.
 	hosts map[string]int
-	// oldest is when the oldest report came.
+	// oldest is when the oldest report arrived.
 	oldest time.Duration
 }
 
-// report is what one source reported last.
+// report is the last report of one source, received at at.
 type report struct {
 	at    time.Duration
 	hosts map[string]int
@@ -150,7 +149,7 @@
 	r.bySource[source] = next
 }
 
-// remove takes the report of a source out of the sums.
+// remove removes the report of a source from the sums.
 func (r *reports) remove(source string) {
 	old := r.bySource[source]
 	if old == nil {
@@ -180,14 +179,14 @@
 	return out
 }
 
-// expire drops what is too old.
+// expire removes reports older than maxReportAge.
 func (r *reports) expire(now time.Duration) {
-	if len(r.bySource) == 0 || now-r.oldest <= reportAge {
+	if len(r.bySource) == 0 || now-r.oldest <= maxReportAge {
 		return
 	}
 	oldest := now
 	for source, from := range r.bySource {
-		if now-from.at > reportAge {
+		if now-from.at > maxReportAge {
 			r.remove(source)
 		} else {
 			oldest = min(oldest, from.at)
@@ -196,7 +195,7 @@
 	r.oldest = oldest
 }
 
-// Usage is what this host has in flight and what it saw of upstreams.
+// Usage returns what this host has in flight and what it observed of upstreams.
 func (b *Balancer) Usage(now time.Duration) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -213,9 +212,9 @@
 	return out
 }
 
-// usage is what this host has in flight over an upstream and saw of it.
+// usage returns what this host has in flight over an upstream and observed of it.
 func (u *upstream) usage(now time.Duration) Usage {
-	out := Usage{Upstream: u.ID, Requests: int64(u.passing), Room: int64(math.Round(u.reserved)), Pace: u.ownPace(now)}
+	out := Usage{Upstream: u.ID, Requests: int64(u.requests), Room: int64(math.Round(u.reserved)), Pace: u.ownPace(now)}
 	if u.dead {
 		out.Dead = 1
 	}
@@ -228,20 +227,20 @@
 	return out
 }
 
-// SetReport takes in what a source reported, in place of what it reported before.
-// Without reports each host would take an upstream for empty that all the others
-// fill. A figure that can't be is left out; the error names the first.
+// SetReport replaces the last report of a source. Without reports, each host would take an
+// upstream for empty that all the others fill. Values out of range are left out; the error names
+// the first.
 func (b *Balancer) SetReport(now time.Duration, source string, r Report) error {
-	r, err := r.valid()
+	r, err := r.withoutInvalid()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.peers.expire(now)
-	b.peers.set(now, source, r)
+	b.peerReports.expire(now)
+	b.peerReports.set(now, source, r)
 	return err
 }
 
-// valid is the report without what can't be.
-func (r Report) valid() (Report, error) {
+// withoutInvalid returns the report without values out of range, and an error for the first.
+func (r Report) withoutInvalid() (Report, error) {
 	var first error
 	note := func(err error) bool {
 		if first == nil {
@@ -251,8 +250,8 @@
 	}
 	out := Report{Hosts: make(map[string]int, len(r.Hosts)), Usage: make([]Usage, 0, len(r.Usage))}
 	for dc, n := range r.Hosts {
-		if n < 0 || n > mostHosts {
-			note(fmt.Errorf("balancer: impossible number of hosts %d in data centre %q", n, dc))
+		if n < 0 || n > maxHosts {
+			note(fmt.Errorf("balancer: number of hosts %d out of range in report of data centre %q", n, dc))
 			continue
 		}
 		out.Hosts[dc] = n
@@ -265,23 +264,23 @@
 	return out, first
 }
 
-// KeepReports drops the reports of sources that are not to be kept. A host whose
-// part in the exchange changes would count some hosts twice otherwise.
+// KeepReports drops the reports of sources for which keep returns false. Otherwise a host whose
+// role in the exchange changes would count some hosts twice.
 func (b *Balancer) KeepReports(keep func(source string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for source := range b.peers.bySource {
+	for source := range b.peerReports.bySource {
 		if !keep(source) {
-			b.peers.remove(source)
+			b.peerReports.remove(source)
 		}
 	}
 }
 
-// ReportOf is what a source reported last.
+// ReportOf returns the last report of a source, sorted by upstream; empty if there is none.
 func (b *Balancer) ReportOf(source string) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	from := b.peers.bySource[source]
+	from := b.peerReports.bySource[source]
 	if from == nil {
 		return Report{}
 	}
@@ -293,27 +292,27 @@
 	return out
 }
 
-// Sum adds this host's own usage to all reports but those of some sources, for some
-// upstreams; none is for all.
+// Sum adds this host's own usage to the reports of all sources but those for which without returns
+// true. It covers the given upstreams, or all if none is given.
 func (b *Balancer) Sum(now time.Duration, without func(source string) bool, upstreams []string) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.peers.expire(now)
+	b.peerReports.expire(now)
 	out := Report{Hosts: map[string]int{b.DataCentre: 1}}
-	for dc, n := range b.peers.hosts {
+	for dc, n := range b.peerReports.hosts {
 		out.Hosts[dc] += n
 	}
-	var left []*report
-	for source, from := range b.peers.bySource {
+	var excluded []*report
+	for source, from := range b.peerReports.bySource {
 		if without(source) {
-			left = append(left, from)
+			excluded = append(excluded, from)
 			for dc, n := range from.hosts {
 				out.Hosts[dc] -= n
 			}
 		}
 	}
 	add := func(id string) {
-		if u := b.total(now, id, left); !u.empty() {
+		if u := b.sumUsage(now, id, excluded); !u.empty() {
 			out.Usage = append(out.Usage, u)
 		}
 	}
@@ -323,24 +322,24 @@
 		}
 		return out
 	}
-	for id := range b.peers.sum {
+	for id := range b.peerReports.sum {
 		add(id)
 	}
 	for id := range b.subset.used {
-		if b.peers.sum[id] == nil {
+		if b.peerReports.sum[id] == nil {
 			add(id)
 		}
 	}
 	return out
 }
 
-// total adds this host's own usage of an upstream to all reports but some.
-func (b *Balancer) total(now time.Duration, id string, without []*report) Usage {
+// sumUsage adds this host's own usage of an upstream to all reports but the excluded ones.
+func (b *Balancer) sumUsage(now time.Duration, id string, excluded []*report) Usage {
 	out := Usage{Upstream: id}
-	if sum := b.peers.sum[id]; sum != nil {
+	if sum := b.peerReports.sum[id]; sum != nil {
 		out = *sum
 	}
-	for _, from := range without {
+	for _, from := range excluded {
 		if u, ok := from.usage[id]; ok {
 			out.subtract(&u)
 		}
@@ -348,28 +347,28 @@
 	if out.Paced == 0 {
 		out.Pace = 0
 	}
-	if u := b.ups[id]; u != nil {
+	if u := b.upstreams[id]; u != nil {
 		own := u.usage(now)
 		out.add(&own)
 	}
 	return out
 }
 
-// Fullest is the report with the given number of upstreams at most: those that some
-// host can't reach or suspects, then those with most room taken.
+// Fullest returns the report with at most a given number of upstreams: those that some host can't
+// reach or suspects come first, then those with the most capacity in use. It reorders r.Usage.
 func (r Report) Fullest(most int) Report {
 	if len(r.Usage) <= most {
 		return r
 	}
-	doubted := func(u *Usage) int64 { return min(1, u.Dead+u.Suspected) }
+	unreachable := func(u *Usage) int64 { return min(1, u.Dead+u.Suspected) }
 	slices.SortFunc(r.Usage, func(a, b Usage) int {
-		return cmp.Or(cmp.Compare(doubted(&b), doubted(&a)), cmp.Compare(b.Room, a.Room), strings.Compare(a.Upstream, b.Upstream))
+		return cmp.Or(cmp.Compare(unreachable(&b), unreachable(&a)), cmp.Compare(b.Room, a.Room), strings.Compare(a.Upstream, b.Upstream))
 	})
 	r.Usage = r.Usage[:most]
 	return r
 }
 
-// SetHosts takes in the other hosts, each with its data centre.
+// SetHosts sets the other hosts, each with its data centre.
 func (b *Balancer) SetHosts(hosts map[string]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -377,57 +376,57 @@
 	for _, dc := range hosts {
 		count[dc]++
 	}
-	b.subset.stale = b.subset.stale || !maps.Equal(count, b.hosts)
-	b.hosts = count
-	if !maps.Equal(hosts, b.hostNames) {
-		b.hostNames = maps.Clone(hosts)
+	b.subset.stale = b.subset.stale || !maps.Equal(count, b.hostCounts)
+	b.hostCounts = count
+	if !maps.Equal(hosts, b.hostDataCentres) {
+		b.hostDataCentres = maps.Clone(hosts)
 		b.hostsVersion++
 	}
 }
 
-// allHosts is how many hosts there are, this one included.
-func (b *Balancer) allHosts() int {
+// hostCount returns the number of hosts, this one included.
+func (b *Balancer) hostCount() int {
 	out := 1
-	for _, n := range b.hosts {
+	for _, n := range b.hostCounts {
 		out += n
 	}
 	return out
 }
 
-// unreported is how many hosts of a data centre, this one included, are in no
-// report. They are taken to have as much there as this one.
-func (b *Balancer) unreported(dataCentre string) float64 {
-	return 1 + float64(max(0, b.hosts[dataCentre]-b.peers.hosts[dataCentre]))
+// unreportedHosts returns the number of hosts of a data centre that no report covers, this one
+// included. Each is assumed to have as much in flight there as this host.
+func (b *Balancer) unreportedHosts(dataCentre string) float64 {
+	return 1 + float64(max(0, b.hostCounts[dataCentre]-b.peerReports.hosts[dataCentre]))
 }
 
-// suspected reports whether this host or another one suspects an upstream. A path
-// has a dozen hops: with some upstreams gone that are still listed, each of many
-// hosts would have to learn of each by requests that fail.
-func (b *Balancer) suspected(now time.Duration, u *upstream) bool {
+// isSuspected reports whether this host or another one suspects an upstream. A path has a dozen
+// hops: when some upstreams are gone but still listed, each of many hosts would otherwise have to
+// find each of them by failed requests.
+func (b *Balancer) isSuspected(now time.Duration, u *upstream) bool {
 	if u.suspectUntil > now {
 		return true
 	}
-	sum := b.reported(now, u)
+	sum := b.reportedUsage(now, u)
 	return sum != nil && sum.Suspected > 0
 }
 
-// reported is the sum of all reports on an upstream; nil where there is none.
-func (b *Balancer) reported(now time.Duration, u *upstream) *Usage {
-	b.peers.expire(now)
-	return b.peers.sum[u.ID]
+// reportedUsage returns the sum of all reports on an upstream; nil if there is none.
+func (b *Balancer) reportedUsage(now time.Duration, u *upstream) *Usage {
+	b.peerReports.expire(now)
+	return b.peerReports.sum[u.ID]
 }
 
-// load is what is known to be in flight over an upstream.
-type load struct{ requests, room float64 }
+// usageTotal is what is known to be in flight over an upstream.
+type usageTotal struct{ requests, tokenLayers float64 }
 
-// known adds up what all hosts have in flight over an upstream.
-func (b *Balancer) known(now time.Duration, u *upstream) load {
-	sum := b.reported(now, u)
-	share := b.unreported(u.DataCentre)
-	out := load{float64(u.passing) * share, u.reserved * share}
+// totalUsage adds up what all hosts have in flight over an upstream.
+func (b *Balancer) totalUsage(now time.Duration, u *upstream) usageTotal {
+	sum := b.reportedUsage(now, u)
+	share := b.unreportedHosts(u.DataCentre)
+	out := usageTotal{float64(u.requests) * share, u.reserved * share}
 	if sum != nil {
 		out.requests += float64(sum.Requests)
-		out.room += float64(sum.Room)
+		out.tokenLayers += float64(sum.Room)
 	}
 	return out
 }
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -15,8 +15,8 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// TestReportSums guards against load that stays in the sums after its host is lost
-// or reports anew.
+// TestReportSums guards against load that stays in the sums after its host is lost or has sent a
+// new report.
 func TestReportSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type kept struct {
@@ -68,8 +68,8 @@
 	return r
 }
 
-// addReports adds two reports up anew. Pace is left out of the sum: it may be that
-// of a source that was left out.
+// addReports adds up two reports. It leaves out Pace, a maximum that may come from an excluded
+// source.
 func addReports(x, y balancer.Report) balancer.Report {
 	out := balancer.Report{Hosts: make(map[string]int)}
 	byID := make(map[string]balancer.Usage)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestImpossibleReport guards against a broken report that makes upstreams pass for
-// empty or full for all.
+// TestImpossibleReport guards against an invalid report that makes upstreams look empty or full to
+// every host.
 func TestImpossibleReport(t *testing.T) {
 	for _, bad := range []balancer.Usage{
 		{Upstream: "a1", Requests: -1},
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestPaceForgotten guards against an upstream that stays slow for all after the
-// host that said so is lost.
+// TestPaceForgotten guards against an upstream that stays slow for all hosts after the host that
+// reported it is lost.
 func TestPaceForgotten(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
@@ -150,8 +150,8 @@
 	is.Equal(pace(9*time.Second), 0.0)
 }
 
-// TestFullest guards against reports that grow with the fleet, and against an upstream
-// that can't be reached being left out of one.
+// TestFullest guards against reports that grow with the fleet, and against a report that leaves
+// out an unreachable upstream.
 func TestFullest(t *testing.T) {
 	is := is.New(t)
 	r := balancer.Report{}
@@ -166,13 +166,13 @@
 	is.Equal(len(got.Fullest(20).Usage), 10)
 }
 
-// TestSumOfSome guards against answers to a host that tell of the whole fleet.
-func TestSumOfSome(t *testing.T) {
+// TestSumOfSelectedUpstreams guards against answers to a host that cover the whole fleet.
+func TestSumOfSelectedUpstreams(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	is.NoErr(b.SetReport(0, "x", balancer.Report{Usage: []balancer.Usage{{Upstream: "a1", Requests: 2}, {Upstream: "a2", Requests: 3}}}))
-	b.Release(acquire(t, b, 0, need))
-	acquire(t, b, 0, need)
+	b.Release(acquire(t, b, 0, modelNeed))
+	acquire(t, b, 0, modelNeed)
 	got := b.Sum(0, func(string) bool { return false }, []string{"a2", "gone"})
 	is.Equal(len(got.Usage), 1)
 	is.Equal(got.Usage[0].Requests, int64(4))
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -14,19 +14,19 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// simulation is two hosts in two data centres whose stages have room in different places, and
-// the pipe between them, in virtual time.
+// simulation runs in virtual time: two hosts in two data centres whose stages have capacity in
+// different places, and the pipe between them.
 type simulation struct {
 	hosts []*balancer.Balancer
-	// bounds are those on the hosts' streams in flight.
-	bounds [2]admitter.Latency
-	// busyUntil is when the pipe is through with all prompts that were sent over it.
-	busyUntil time.Duration
-	running   []*stream
-	inTime    int
+	// admission limits each host's streams in flight.
+	admission [2]admitter.Latency
+	// pipeBusyUntil is when the pipe has carried all prompts that were sent over it.
+	pipeBusyUntil time.Duration
+	running       []*stream
+	inTime        int
 }
 
-// stream is one that runs.
+// stream is a running stream.
 type stream struct {
 	host    int
 	lease   *balancer.Lease
@@ -38,15 +38,15 @@
 const (
 	streamLife = 2 * time.Second
 	gapTarget  = 250 * ms
-	// transfer is how long the pipe takes for a prompt, patience how long callers wait
-	// for their first event.
-	transfer = 41 * ms
-	patience = 2 * time.Second
-	tick     = 5 * ms
+	// promptTransferTime is how long the pipe takes for a prompt, firstEventTimeout how long
+	// callers wait for their first event.
+	promptTransferTime = 41 * ms
+	firstEventTimeout  = 2 * time.Second
+	tick               = 5 * ms
 )
 
-// newSimulation makes one; apart has each host know its own data centre alone.
-func newSimulation(apart bool) *simulation {
+// newSimulation creates a simulation. With isolated set, each host knows only its data centre.
+func newSimulation(isolated bool) *simulation {
 	s := new(simulation)
 	e := engine()
 	e.PipeMbps = 4000
@@ -55,11 +55,10 @@
 		b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: e}})
 		var list []balancer.Upstream
 		for _, at := range []string{"a", "b"} {
-			if apart && at != dc {
+			if isolated && at != dc {
 				continue
 			}
-			// The first half has more room than the second in one data centre, less in
-			// the other.
+			// The first half has more capacity than the second in one data centre, less in the other.
 			holders := map[string][2]int{"a": {6, 3}, "b": {3, 6}}[at]
 			for half, n := range holders {
 				for k := range n {
@@ -75,52 +74,52 @@
 	return s
 }
 
-// arrive has one request come to a host.
+// arrive has one request arrive at a host.
 func (s *simulation) arrive(now time.Duration, host int) {
-	b, bound := s.hosts[host], &s.bounds[host]
+	b, bound := s.hosts[host], &s.admission[host]
 	if !bound.Enter() {
 		return
 	}
-	l, _ := b.Acquire(now, need)
+	l, _ := b.Acquire(now, modelNeed)
 	if l == nil {
 		bound.Leave()
 		return
 	}
 	r := &stream{host: host, lease: l, ends: now + streamLife, crosses: b.Crosses(l)}
 	if r.crosses {
-		s.busyUntil = max(now, s.busyUntil) + transfer
-		r.ends = min(s.busyUntil, now+patience) + streamLife
+		s.pipeBusyUntil = max(now, s.pipeBusyUntil) + promptTransferTime
+		r.ends = min(s.pipeBusyUntil, now+firstEventTimeout) + streamLife
 	}
 	s.running = append(s.running, r)
 }
 
-// step ends streams, and has events wait for the pipe.
+// step ends streams and marks those late whose events wait for the pipe.
 func (s *simulation) step(now time.Duration) {
 	left := s.running[:0]
 	for _, r := range s.running {
-		if !r.late && r.crosses && s.busyUntil-now > gapTarget {
+		if !r.late && r.crosses && s.pipeBusyUntil-now > gapTarget {
 			r.late = true
-			s.bounds[r.host].Sample(now, true)
+			s.admission[r.host].Sample(now, true)
 		}
 		if now < r.ends {
 			left = append(left, r)
 			continue
 		}
 		s.hosts[r.host].Release(r.lease)
-		s.bounds[r.host].Leave()
+		s.admission[r.host].Leave()
 		if !r.late {
-			s.bounds[r.host].Sample(now, false)
+			s.admission[r.host].Sample(now, false)
 			s.inTime++
 		}
 	}
 	s.running = left
 }
 
-// play has requests arrive at a rate, and returns how many a second were answered in
-// time once that lasted.
-func (s *simulation) play(t *testing.T, perSecond float64) float64 {
+// run has requests arrive at a rate. It returns how many a second were answered in time after the
+// warm-up.
+func (s *simulation) run(t *testing.T, perSecond float64) float64 {
 	t.Helper()
-	const warm, length = 2 * time.Second, 8 * time.Second
+	const warmUp, length = 2 * time.Second, 8 * time.Second
 	due, counted := 0.0, 0
 	for now := time.Second; now < time.Second+length; now += tick {
 		s.step(now)
@@ -132,24 +131,24 @@
 		for due += perSecond * tick.Seconds(); due >= 1; due-- {
 			s.arrive(now, int(due)%2)
 		}
-		if now < time.Second+warm {
+		if now < time.Second+warmUp {
 			counted = s.inTime
 		}
 	}
-	return float64(s.inTime-counted) / (length - warm).Seconds()
+	return float64(s.inTime-counted) / (length - warmUp).Seconds()
 }
 
-// TestPlateau guards against data centres that answer fewer requests in time than each
-// would alone, once all are full.
-func TestPlateau(t *testing.T) {
+// TestOverloadThroughput guards against data centres that, once all are full, answer fewer requests
+// in time than each would alone.
+func TestOverloadThroughput(t *testing.T) {
 	best := 0.0
 	for _, perSecond := range []float64{300, 500, 600, 700, 800} {
-		best = max(best, newSimulation(true).play(t, perSecond))
+		best = max(best, newSimulation(true).run(t, perSecond))
 	}
 	for _, times := range []float64{2, 4, 8} {
 		t.Run(fmt.Sprint(times, " times"), func(t *testing.T) {
-			got := newSimulation(false).play(t, times*best)
-			t.Logf("%.0f a second in time, %.0f at best", got, best)
+			got := newSimulation(false).run(t, times*best)
+			t.Logf("%.0f answers a second in time, at best %.0f without overload", got, best)
 			is.New(t).True(got >= 0.9*best)
 		})
 	}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -12,94 +12,94 @@
 )
 
 const (
-	// mostUsed is the number of upstreams up to which a host uses all of them.
-	mostUsed = 400
-	// nearCopies and farCopies are how many holders of each layer a host uses at least
-	// in its own and in each other data centre: half of them may be lost before the
-	// list tells.
-	nearCopies = 8
-	farCopies  = 3
-	// users is how many hosts of its data centre use an upstream on average at least:
-	// with fewer some upstreams would have hardly any.
-	users = 5
-	// subsetRest is the time between two subsets.
-	subsetRest = 200 * time.Millisecond
-	// mostWider bounds by how much the subset grows in a shortage, wideFor is how long
-	// it stays so after the last one.
-	mostWider = 4
-	wideFor   = 10 * time.Second
+	// subsetThreshold is the number of upstreams up to which a host uses all of them.
+	subsetThreshold = 400
+	// localCopies and remoteCopies are the least number of holders of each layer that a host
+	// uses in its own and in each other data centre. Half of them may be lost before the list
+	// shows it.
+	localCopies  = 8
+	remoteCopies = 3
+	// minHostsPerUpstream is how many hosts of its data centre use an upstream at least on
+	// average: with fewer, some upstreams would have hardly any.
+	minHostsPerUpstream = 5
+	// subsetInterval is the least time between two choices of the subset.
+	subsetInterval = 200 * time.Millisecond
+	// maxCopyFactor limits how much the subset grows in a shortage. widenedFor is how long it
+	// stays widened after the last one.
+	maxCopyFactor = 4
+	widenedFor    = 10 * time.Second
 )
 
-// subset is the part of a large fleet that a host uses: what it does for each choice
-// and each report grows with that part, not with the fleet.
+// subset is the part of a large fleet that a host uses. The work of each choice and each report
+// grows with the subset, not with the fleet.
 type subset struct {
-	// used are the upstreams that new work goes to, or that have some in flight;
-	// all of them in a small fleet.
+	// used holds the upstreams that new work goes to or that have requests in flight; in a
+	// small fleet all upstreams.
 	used map[string]*upstream
-	// stale is set once it may be out of date, at is when it was chosen.
-	stale bool
-	at    time.Duration
-	// wider multiplies the copies of each layer, since widened; 0 counts as 1.
-	wider   int
-	widened time.Duration
+	// stale is set once the subset may be out of date; chosenAt is when it was chosen.
+	stale    bool
+	chosenAt time.Duration
+	// copyFactor multiplies the copies of each layer, since widenedAt; 0 counts as 1.
+	copyFactor int
+	widenedAt  time.Duration
 }
 
-// refresh chooses the subset anew where it is out of date.
-func (b *Balancer) refresh(now time.Duration) {
-	if len(b.ups) <= mostUsed {
+// refreshSubset chooses the subset again if it is out of date.
+func (b *Balancer) refreshSubset(now time.Duration) {
+	if len(b.upstreams) <= subsetThreshold {
 		b.useAll()
 		return
 	}
-	if b.subset.wider > 1 && now-b.subset.widened > wideFor {
-		b.subset.wider, b.subset.stale = 1, true
+	if b.subset.copyFactor > 1 && now-b.subset.widenedAt > widenedFor {
+		b.subset.copyFactor, b.subset.stale = 1, true
 	}
-	if b.subset.used != nil && (!b.subset.stale || now-b.subset.at < subsetRest) {
+	if b.subset.used != nil && (!b.subset.stale || now-b.subset.chosenAt < subsetInterval) {
 		return
 	}
-	b.subset.used, b.subset.stale, b.subset.at = b.chooseSubset(), false, now
+	b.subset.used, b.subset.stale, b.subset.chosenAt = b.chooseSubset(), false, now
 }
 
 // useAll makes the subset all upstreams.
 func (b *Balancer) useAll() {
-	if len(b.subset.used) == len(b.ups) && !b.subset.stale {
+	if len(b.subset.used) == len(b.upstreams) && !b.subset.stale {
 		return
 	}
-	b.subset = subset{used: b.ups}
-	for _, u := range b.ups {
+	b.subset = subset{used: b.upstreams}
+	for _, u := range b.upstreams {
 		u.retired = false
 	}
 }
 
-// widen makes the subset larger after a shortage. It reports whether it did.
-func (b *Balancer) widen(now time.Duration) bool {
+// widenSubset enlarges the subset after a shortage. It reports whether it did.
+func (b *Balancer) widenSubset(now time.Duration) bool {
 	s := &b.subset
-	if len(s.used) >= len(b.ups) {
+	if len(s.used) >= len(b.upstreams) {
 		return false
 	}
-	wider := min(mostWider, 2*max(1, s.wider))
-	s.widened = now
-	if wider == s.wider {
+	factor := min(maxCopyFactor, 2*max(1, s.copyFactor))
+	s.widenedAt = now
+	if factor == s.copyFactor {
 		return false
 	}
-	s.wider, s.used, s.at = wider, nil, now
-	b.refresh(now)
+	s.copyFactor, s.used, s.chosenAt = factor, nil, now
+	b.refreshSubset(now)
 	return true
 }
 
-// chooseSubset takes upstreams in an order of this host's own, so that each is used by
-// as many hosts as any other that holds the same: plain ones all, others until each
-// layer has enough holders in each data centre.
+// chooseSubset takes all upstreams of plain services. Of the others it takes, in this host's own
+// order, until each layer has enough holders in each data centre; since the order differs by host,
+// upstreams that hold the same layers are used by about as many hosts each.
 func (b *Balancer) chooseSubset() map[string]*upstream {
 	used := make(map[string]*upstream)
 	pools := make(map[[2]string][]*upstream)
-	for id, u := range b.ups {
+	for id, u := range b.upstreams {
 		s := b.services[u.Service]
 		u.retired = false
 		switch {
 		case s == nil || s.Engine == nil || s.Engine.Layers == 0:
 			used[id] = u
 			continue
-		case u.passing > 0:
+		case u.requests > 0:
 			u.retired = true
 			used[id] = u
 		}
@@ -114,13 +114,13 @@
 	return used
 }
 
-// cover adds upstreams of a data centre until each layer has enough holders that take
+// cover adds upstreams of a data centre until each layer has enough holders that accept
 // connections.
 func (b *Balancer) cover(pool []*upstream, layers int, dataCentre string, used map[string]*upstream) {
 	slices.SortFunc(pool, func(x, y *upstream) int {
 		return cmp.Or(cmp.Compare(x.rank, y.rank), strings.Compare(x.ID, y.ID))
 	})
-	copies := b.copies(pool, layers, dataCentre)
+	copies := b.copiesPerLayer(pool, layers, dataCentre)
 	holders := make([]int, layers)
 	for _, u := range pool {
 		span := holders[min(layers, max(0, u.Holds.From)):min(layers, u.Holds.To)]
@@ -129,7 +129,7 @@
 		}
 		u.retired = false
 		used[u.ID] = u
-		if u.dead || u.strikes > 0 {
+		if u.dead || u.ejections > 0 {
 			continue
 		}
 		for l := range span {
@@ -138,39 +138,38 @@
 	}
 }
 
-// copies is how many holders of each layer this host uses in a data centre.
-func (b *Balancer) copies(pool []*upstream, layers int, dataCentre string) int {
-	out := farCopies
+// copiesPerLayer returns how many holders of each layer this host uses in a data centre.
+func (b *Balancer) copiesPerLayer(pool []*upstream, layers int, dataCentre string) int {
+	out := remoteCopies
 	if dataCentre == b.DataCentre {
-		held := 0
+		layersHeld := 0
 		for _, u := range pool {
-			held += u.Holds.Len()
+			layersHeld += u.Holds.Len()
 		}
-		hosts := 1 + b.hosts[dataCentre]
-		out = max(nearCopies, int(math.Ceil(users*float64(held)/float64(layers*hosts))))
+		hosts := 1 + b.hostCounts[dataCentre]
+		out = max(localCopies, int(math.Ceil(minHostsPerUpstream*float64(layersHeld)/float64(layers*hosts))))
 	}
-	return out * max(1, b.subset.wider)
+	return out * max(1, b.subset.copyFactor)
 }
 
-// rankOf is the place of an upstream in a host's own order, by rendezvous hashing: the
-// loss of one changes no other's.
+// rankOf returns the position of an upstream in a host's own order. Rendezvous hashing keeps the
+// loss of one upstream from changing any other's rank.
 func rankOf(host, upstream string) uint64 { return xxhash.Sum64String(host + "/" + upstream) }
 
-// InUse is how many upstreams this host uses.
+// InUse returns the number of upstreams that this host uses.
 func (b *Balancer) InUse(now time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refresh(now)
+	b.refreshSubset(now)
 	return len(b.subset.used)
 }
 
-// Used lists the ids of upstreams that this host uses, where it does not use all; nil
-// is all.
+// Used returns the ids of the upstreams that this host uses; nil when it uses all.
 func (b *Balancer) Used(now time.Duration) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refresh(now)
-	if len(b.subset.used) >= len(b.ups) {
+	b.refreshSubset(now)
+	if len(b.subset.used) >= len(b.upstreams) {
 		return nil
 	}
 	return slices.Collect(maps.Keys(b.subset.used))
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -14,8 +14,8 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// manyUpstreams are n upstreams in three data centres, a tenth of the layers each.
-func manyUpstreams(n int) []balancer.Upstream {
+// largeFleet returns n upstreams in three data centres that each hold a tenth of the layers.
+func largeFleet(n int) []balancer.Upstream {
 	const parts = 10
 	out := make([]balancer.Upstream, n)
 	for i := range out {
@@ -28,27 +28,27 @@
 	return out
 }
 
-// manyHosts are the balancers of the hosts of one data centre of a large fleet.
-func manyHosts(hosts, upstreams int) []*balancer.Balancer {
+// largeFleetHosts returns the balancers of the hosts in one of three data centres.
+func largeFleetHosts(hosts, upstreams int) []*balancer.Balancer {
 	out := make([]*balancer.Balancer, hosts/3)
 	for i := range out {
 		b := &balancer.Balancer{Host: fmt.Sprint("host", 3*i), DataCentre: "dc0", Policy: picker.Cheapest{Steepness: 2, Spread: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: engine()}})
-		b.SetHosts(hostsIn(hosts))
-		b.List(manyUpstreams(upstreams), nil)
+		b.SetHosts(hostDataCentres(hosts))
+		b.List(largeFleet(upstreams), nil)
 		out[i] = b
 	}
 	return out
 }
 
-// TestSubset guards against work of a host that grows with the fleet, and against
-// upstreams that hardly any host uses.
+// TestSubset guards against work of a host that grows with the fleet, and against upstreams that
+// hardly any host uses.
 func TestSubset(t *testing.T) {
 	for _, size := range []struct{ hosts, upstreams, most int }{{300, 3000, 200}, {100, 1000, 250}, {12, 3000, 1100}} {
 		t.Run(fmt.Sprint(size.hosts, " hosts, ", size.upstreams, " upstreams"), func(t *testing.T) {
 			is := is.New(t)
 			times := make(map[string]int)
-			for _, b := range manyHosts(size.hosts, size.upstreams) {
+			for _, b := range largeFleetHosts(size.hosts, size.upstreams) {
 				used := b.Used(0)
 				is.True(len(used) > 0 && len(used) <= size.most)
 				for _, id := range used {
@@ -65,16 +65,16 @@
 		})
 	}
 	t.Run("a small fleet is used whole", func(t *testing.T) {
-		is.New(t).True(manyHosts(3, 300)[0].Used(0) == nil)
+		is.New(t).True(largeFleetHosts(3, 300)[0].Used(0) == nil)
 	})
 }
 
-// TestSubsetLosses guards against refusals while most of a large fleet is free: all
-// holders of some layers that a host uses are lost at once.
+// TestSubsetLosses guards against refusals while most of a large fleet is free: all holders of
+// some layers in a host's subset are lost at once.
 func TestSubsetLosses(t *testing.T) {
 	is := is.New(t)
-	b := manyHosts(300, 3000)[0]
-	list := manyUpstreams(3000)
+	b := largeFleetHosts(300, 3000)[0]
+	list := largeFleet(3000)
 	lost := 0
 	for _, id := range b.Used(0) {
 		i := slices.IndexFunc(list, func(u balancer.Upstream) bool { return u.ID == id })
@@ -84,18 +84,18 @@
 		}
 	}
 	is.True(lost >= 8)
-	acquire(t, b, time.Second, need)
+	acquire(t, b, time.Second, modelNeed)
 }
 
-// TestSubsetInFlight guards against streams that are not watched or reported any more
-// since their upstream left the subset.
+// TestSubsetInFlight guards against streams that are no longer watched or reported after their
+// upstream has left the subset.
 func TestSubsetInFlight(t *testing.T) {
 	is := is.New(t)
-	b := manyHosts(300, 3000)[0]
-	l := acquire(t, b, 0, need)
+	b := largeFleetHosts(300, 3000)[0]
+	l := acquire(t, b, 0, modelNeed)
 	hops := b.Path(l)
 	var changed []balancer.Upstream
-	for _, u := range manyUpstreams(3000) {
+	for _, u := range largeFleet(3000) {
 		if u.ID == hops[3].ID {
 			u.Leaving = true
 			changed = append(changed, u)
--- a/balancer/turned_test.go
+++ b/balancer/turned_test.go
@@ -14,9 +14,9 @@
 	"github.com/sardineward/sardineward/picker"
 )
 
-// hosts are some entry hosts before one fleet: twelve ranges of layers that three
-// upstreams hold each.
-func hosts(n int) []*balancer.Balancer {
+// newHosts returns n entry hosts that share one fleet: twelve ranges of layers, each held by three
+// upstreams.
+func newHosts(n int) []*balancer.Balancer {
 	const ranges, holders = 12, 3
 	e := engine()
 	e.Layers = ranges * 6
@@ -37,8 +37,8 @@
 	return out
 }
 
-// share has all hosts tell each other what they have in flight.
-func share(now time.Duration, hosts []*balancer.Balancer) {
+// exchangeReports has each host report its usage to all others.
+func exchangeReports(now time.Duration, hosts []*balancer.Balancer) {
 	for i, from := range hosts {
 		for k, to := range hosts {
 			if i != k {
@@ -50,22 +50,21 @@
 	}
 }
 
-// TestTurnedAway guards against hosts that each try upstreams which are gone and still
-// listed.
-func TestTurnedAway(t *testing.T) {
+// TestRejections guards against hosts that each try upstreams which are gone and still listed.
+func TestRejections(t *testing.T) {
 	is := is.New(t)
 	const length, exchange, tries = 2 * time.Second, 375 * ms, 4
-	all := hosts(12)
+	all := newHosts(12)
 	gone := []string{"1-0", "5-1", "8-2"}
-	turned, refused := 0, 0
+	rejections, refused := 0, 0
 	next := exchange
 	for now := time.Duration(0); now < length; now += 10 * ms {
 		if now >= next {
-			share(now, all)
+			exchangeReports(now, all)
 			next += exchange
 		}
 		b := all[int(now/(10*ms))%len(all)]
-		n := need
+		n := modelNeed
 		for try := range tries {
 			l, reason := b.Acquire(now, n)
 			is.Equal(reason, balancer.ReasonNone)
@@ -75,7 +74,7 @@
 				b.Release(l)
 				break
 			}
-			turned++
+			rejections++
 			id := b.Path(l)[at].ID
 			b.Release(l)
 			b.Turned(now, id)
@@ -85,7 +84,7 @@
 			}
 		}
 	}
-	t.Logf("turned away %d times, refused %d", turned, refused)
+	t.Logf("%d rejections, %d requests refused", rejections, refused)
 	is.Equal(refused, 0)
-	is.True(turned <= len(all)*len(gone))
+	is.True(rejections <= len(all)*len(gone))
 }
