--- a/limiter/limit.go
+++ b/limiter/limit.go
@@ -1,8 +1,8 @@
-// Package limiter keeps to the rates of requests that upstreams in need name in their
-// answers. A limit holds for all hosts together: it decides which of them may use the
-// upstream, and how often each.
+// Package limiter enforces the request rate limits that overloaded upstreams name in their
+// answers. A limit applies to all hosts together. The package decides which of them may use
+// the upstream, and how often each may.
 //
-// It does no I/O; time comes in as an argument, on a clock that does not run backwards.
+// It does no I/O. Callers pass the time, as read from a monotonic clock.
 package limiter
 
 import (
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Unlimited is the rate of an upstream that names no limit.
+// Unlimited is the rate, in requests a second, of an upstream that names no limit.
 var Unlimited = math.Inf(1)
 
-// Limit is what a host knows of the limit of an upstream. The zero value is that it
+// Limit is what a host knows of an upstream's rate limit. The zero value means that the host has
 // never heard of one.
 type Limit struct {
-	// Version rises by one with each change that any host learns from an answer.
+	// Version increases by one with each change that any host learns from an answer.
 	Version int64
-	// PerSecond is the rate of requests of all hosts; Unlimited once the upstream names
-	// none any more. Not negative.
+	// PerSecond is the limit for all hosts together, in requests a second; Unlimited once the
+	// upstream no longer names one. It is never negative.
 	PerSecond float64
-	// Since is when this host last had it confirmed by an answer, or was told of it.
+	// Since is when an answer last confirmed the limit to this host, or another host sent it.
 	Since time.Duration
 	// Heard is when an answer last named it to any host.
 	Heard time.Duration
@@ -31,7 +31,7 @@
 // InForce reports whether the upstream names a limit.
 func (l *Limit) InForce() bool { return l.Version > 0 && !math.IsInf(l.PerSecond, 1) }
 
-// Rate is the requests a second that the upstream takes.
+// Rate returns the limit in requests a second, or Unlimited.
 func (l *Limit) Rate() float64 {
 	if !l.InForce() {
 		return Unlimited
@@ -39,54 +39,54 @@
 	return l.PerSecond
 }
 
-// Observe takes in an answer that names a rate, Unlimited for none, to a request sent at
-// sent. Answers may overtake each other, so that one to an earlier request than the last
-// news neither ends nor raises a limit, and does not bring back one that ended. It
-// reports whether the limit changed.
+// Observe applies the rate that an answer names, in requests a second; Unlimited for none. sent
+// is when the request was sent. Answers may overtake each other: one to a request from before the
+// last change or confirmation can neither end nor raise a limit, nor bring back one that has
+// ended. It reports whether the limit changed.
 func (l *Limit) Observe(now, sent time.Duration, perSecond float64) bool {
-	was := l.Rate()
+	current := l.Rate()
 	overtaken := l.Version > 0 && sent < l.Since
 	switch {
-	case perSecond == was:
+	case perSecond == current:
 		if l.InForce() {
 			l.Since, l.Heard = now, now
 		}
 		return false
-	case overtaken && (perSecond > was || !l.InForce()):
+	case overtaken && (perSecond > current || !l.InForce()):
 		return false
 	}
 	*l = Limit{Version: l.Version + 1, PerSecond: perSecond, Since: now, Heard: now}
 	return true
 }
 
-// Merge takes in what another host knows. Of two limits of one version, heard by two
-// hosts at once, the lower one holds. It reports whether the limit changed.
+// Merge applies a limit as another host knows it. Two hosts may learn different limits at once and
+// give them the same version; the lower one then wins. It reports whether the limit changed.
 func (l *Limit) Merge(now time.Duration, other Limit) bool {
 	if other.Version < l.Version || (other.Version == l.Version && other.PerSecond >= l.PerSecond) {
 		return false
 	}
-	was := l.Rate()
+	before := l.Rate()
 	*l = Limit{Version: other.Version, PerSecond: other.PerSecond, Since: now, Heard: other.Heard}
-	return l.Rate() != was
+	return l.Rate() != before
 }
 
-// mostVersion bounds the version that another host may tell.
-const mostVersion = 1 << 40
+// maxVersion bounds the versions that are accepted from other hosts.
+const maxVersion = 1 << 40
 
-// ImpossibleError is a limit that can't be.
+// ImpossibleError is a limit that is out of range.
 type ImpossibleError struct {
 	Version   int64
 	PerSecond float64
 }
 
-// Error names the limit.
+// Error names the rate and the version.
 func (e *ImpossibleError) Error() string {
-	return fmt.Sprintf("limiter: impossible limit of %g requests a second, version %d", e.PerSecond, e.Version)
+	return fmt.Sprintf("limiter: limit of %g requests a second, version %d, out of range", e.PerSecond, e.Version)
 }
 
-// Check returns an *ImpossibleError for a limit that can't be.
+// Check returns an *ImpossibleError for a version or rate that is out of range.
 func (l *Limit) Check() error {
-	if l.Version < 1 || l.Version > mostVersion || l.PerSecond < 0 || math.IsNaN(l.PerSecond) {
+	if l.Version < 1 || l.Version > maxVersion || l.PerSecond < 0 || math.IsNaN(l.PerSecond) {
 		return &ImpossibleError{l.Version, l.PerSecond}
 	}
 	return nil
--- a/limiter/limit_test.go
+++ b/limiter/limit_test.go
@@ -9,8 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestParse guards against a value that nobody can read and that passes for a limit, or
-// for the end of one.
+// TestParse guards against a malformed value that counts as a limit, or as the end of one.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -40,18 +39,18 @@
 			_, err := Parse(values)
 			is := is.New(t)
 			is.True(err != nil)
-			is.True(len(err.Error()) < 100) // what was found is cut
+			is.True(len(err.Error()) < 100) // a long value is cut
 		})
 	}
 }
 
-// answer is one answer: when its request was sent, when it came, and what it names.
+// answer holds when its request was sent, when it arrived and which rate it names.
 type answer struct {
 	sent, at  time.Duration
 	perSecond float64
 }
 
-// assertRate checks the rate after some answers.
+// assertRate checks the rate after some answers have been observed.
 func assertRate(t *testing.T, want float64, answers ...answer) {
 	t.Helper()
 	var l Limit
@@ -61,8 +60,8 @@
 	is.New(t).Equal(l.Rate(), want)
 }
 
-// TestObserve guards against an answer that was on its way before a limit was named and
-// undoes it, or brings back one that ended.
+// TestObserve guards against an answer to a request from before a limit was named that ends the
+// limit, or brings back one that has ended.
 func TestObserve(t *testing.T) {
 	const s = time.Second
 	t.Run("never named", func(t *testing.T) { assertRate(t, Unlimited, answer{1 * s, 2 * s, Unlimited}) })
@@ -89,8 +88,7 @@
 	t.Run("nothing", func(t *testing.T) { assertRate(t, 0, answer{1 * s, 2 * s, 0}) })
 }
 
-// TestMerge guards against a host that still tells of a limit that another one knows to
-// have changed.
+// TestMerge guards against a host that spreads a limit which another host knows to have changed.
 func TestMerge(t *testing.T) {
 	is := is.New(t)
 	var a, b Limit
@@ -98,7 +96,7 @@
 	is.True(b.Merge(2*time.Second, a))
 	is.Equal(b.Rate(), 2.0)
 	is.True(b.Observe(4*time.Second, 3*time.Second, Unlimited))
-	is.True(!b.Merge(5*time.Second, a)) // told again by the host that heard it first
+	is.True(!b.Merge(5*time.Second, a)) // sent again by the host that first observed it
 	is.Equal(b.Rate(), Unlimited)
 	is.True(a.Merge(5*time.Second, b))
 	is.Equal(a.Rate(), Unlimited)
@@ -107,15 +105,15 @@
 	x, y := low, high
 	is.True(!x.Merge(time.Second, high))
 	is.True(y.Merge(time.Second, low))
-	is.Equal(x.Rate(), y.Rate()) // of two heard at once the lower one
+	is.Equal(x.Rate(), y.Rate()) // of two with one version the lower one wins
 }
 
-// TestCheck guards against a limit of another host that can't be.
+// TestCheck guards against an out-of-range limit of another host.
 func TestCheck(t *testing.T) {
 	is := is.New(t)
 	is.NoErr((&Limit{Version: 1, PerSecond: 0.5}).Check())
 	is.NoErr((&Limit{Version: 3, PerSecond: Unlimited}).Check())
-	for _, l := range []Limit{{Version: 0, PerSecond: 1}, {Version: mostVersion + 1}, {Version: 1, PerSecond: -1}, {Version: 1, PerSecond: math.NaN()}} {
+	for _, l := range []Limit{{Version: 0, PerSecond: 1}, {Version: maxVersion + 1}, {Version: 1, PerSecond: -1}, {Version: 1, PerSecond: math.NaN()}} {
 		is.True(l.Check() != nil)
 	}
 }
--- a/limiter/parse.go
+++ b/limiter/parse.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	// longest is the most characters of a rate.
-	longest = 32
-	// decimal are the characters of one.
-	decimal = "0123456789."
+	// maxRateLength is the most bytes that a rate may have.
+	maxRateLength = 32
+	// rateCharacters are the characters that a rate may have.
+	rateCharacters = "0123456789."
 )
 
-// ParseError is a rate that can't be read.
+// ParseError is a header whose rate can't be parsed.
 type ParseError struct {
-	// Text is what was found, cut after some characters.
+	// Text is the first value, cut after maxRateLength bytes.
 	Text string
-	// Values is how many values the header had.
+	// Values is the number of values that the header had.
 	Values int
 }
 
-// Error tells what was found.
+// Error describes what was found in place of a rate.
 func (e *ParseError) Error() string {
 	if e.Values > 1 {
-		return fmt.Sprintf("limiter: %d rates, beginning with %q, in place of one", e.Values, e.Text)
+		return fmt.Sprintf("limiter: found %d rates, the first %q, want one", e.Values, e.Text)
 	}
-	return fmt.Sprintf("limiter: rate %q is no decimal number", e.Text)
+	return fmt.Sprintf("limiter: rate %q is not a decimal number", e.Text)
 }
 
-// Parse reads the values of the header that names a limit, in requests a second. No
-// value is Unlimited. The error is a *ParseError.
+// Parse reads the values of the header that names a limit, in requests a second. A missing
+// header means Unlimited. The error is a *ParseError.
 func Parse(values []string) (perSecond float64, err error) {
 	if len(values) == 0 {
 		return Unlimited, nil
 	}
 	text := strings.TrimSpace(values[0])
-	fail := &ParseError{Text: text[:min(len(text), longest)], Values: len(values)}
-	if len(values) > 1 || len(text) > longest || strings.Trim(text, decimal) != "" {
-		return 0, fail
+	invalid := &ParseError{Text: text[:min(len(text), maxRateLength)], Values: len(values)}
+	if len(values) > 1 || len(text) > maxRateLength || strings.Trim(text, rateCharacters) != "" {
+		return 0, invalid
 	}
 	perSecond, parseErr := strconv.ParseFloat(text, 64)
 	if parseErr != nil {
-		return 0, fail
+		return 0, invalid
 	}
 	return perSecond, nil
 }
--- a/limiter/share_test.go
+++ b/limiter/share_test.go
@@ -12,11 +12,11 @@
 // window is the time over which requests are counted against a limit.
 const window = 4 * time.Second
 
-// allowed is the most requests in a window by the users' rule.
+// allowed returns the most requests that the specification allows in a window.
 func allowed(perSecond float64) int { return int(1.5*perSecond*window.Seconds() + 5) }
 
-// most is the highest number of sorted times within a window.
-func most(times []time.Duration) int {
+// maxInWindow returns the highest number of sorted times within a window.
+func maxInWindow(times []time.Duration) int {
 	out, first := 0, 0
 	for i, at := range times {
 		for at-times[first] > window {
@@ -27,9 +27,9 @@
 	return out
 }
 
-// replay has requests come at random to hosts that share a limit, and returns when which
-// of them were sent.
-func replay(hosts int, arrivals float64, length time.Duration, share func(place, hosts int) Share) []time.Duration {
+// simulate has requests arrive at random at hosts that share a limit. It returns when requests
+// were sent.
+func simulate(hosts int, arrivals float64, length time.Duration, share func(place, hosts int) Share) []time.Duration {
 	rnd := rand.New(rand.NewPCG(31, uint64(hosts)))
 	buckets := make([]Bucket, hosts)
 	var out []time.Duration
@@ -45,9 +45,9 @@
 	return out
 }
 
-// TestShares guards against shares that together are more than the limit, or so small
-// that hardly any of it is used.
-func TestShares(t *testing.T) {
+// TestShareOf guards against shares that together exceed the limit, or are so small that most of
+// it stays unused.
+func TestShareOf(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.05, 0.3, 1.9, 2, 7.5, 40, 1000} {
 		for _, hosts := range []int{1, 2, 4, 8, 24, 119, 300} {
 			t.Run(fmt.Sprintf("%g a second over %d hosts", perSecond, hosts), func(t *testing.T) {
@@ -58,19 +58,19 @@
 					sum += share(place, hosts).PerSecond
 					burst += share(place, hosts).Burst
 				}
-				rate := max(perSecond, leastRate)
+				rate := max(perSecond, minRate)
 				is.True(sum > 0.999*rate && sum < 1.001*rate)
-				// Hosts that differ on who is there leave some of it unused.
+				// Hosts that disagree on which hosts there are leave some of it unused.
 				is.True(sum*window.Seconds()+burst <= float64(allowed(perSecond)))
-				sent := replay(hosts, 20*rate, 100*time.Second, share)
-				is.True(most(sent) <= allowed(perSecond))
+				sent := simulate(hosts, 20*rate, 100*time.Second, share)
+				is.True(maxInWindow(sent) <= allowed(perSecond))
 				is.True(float64(len(sent)) <= 100*rate+burst)
 			})
 		}
 	}
 }
 
-// TestBucketRest guards against a host that saves its share up over a rest.
+// TestBucketRest guards against a host that saves up its share while idle.
 func TestBucketRest(t *testing.T) {
 	is := is.New(t)
 	s := Share{PerSecond: 2, Burst: 2}
@@ -83,7 +83,7 @@
 	is.Equal(sent, 2)
 	is.True(!b.Has(time.Hour+400*time.Millisecond, s, true))
 	is.True(b.Has(time.Hour+600*time.Millisecond, s, true))
-	is.True(!b.Has(time.Hour+600*time.Millisecond, s, false)) // kept for work that has to go on
+	is.True(!b.Has(time.Hour+600*time.Millisecond, s, false)) // the last one is kept for urgent requests
 	wait, ok := b.Wait(time.Hour+600*time.Millisecond, s)
 	is.True(ok)
 	is.True(wait > 300*time.Millisecond && wait <= 500*time.Millisecond)
