--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -1,9 +1,9 @@
-// Package pacer learns which engines are slower than their kind of accelerator
-// is, from what they report of themselves.
+// Package pacer finds out which engines are slower than their kind of accelerator should be, by
+// querying them.
 //
-// Nothing that a host sees of a path of a dozen engines tells which of them is slow.
-// So the engines of paths on which events came late are asked, and hosts tell each
-// other what they learnt with what they have in flight.
+// Nothing that a host observes of a path of a dozen engines shows which of them is slow. So the
+// engines of paths with late events are queried, and hosts exchange the answers together with
+// their usage reports.
 package pacer
 
 import (
@@ -16,34 +16,32 @@
 )
 
 const (
-	// period is the time between two looks for engines to ask.
-	period = 250 * time.Millisecond
-	// timeout bounds one: a hundred times the usual.
-	timeout = 200 * time.Millisecond
-	// slowest is the highest pace that is believed; a report above it is taken
-	// for a mistake.
-	slowest = 1000.0
+	// queryInterval is the time between two checks for engines to query.
+	queryInterval = 250 * time.Millisecond
+	// queryTimeout bounds one query. It is a hundred times the usual duration.
+	queryTimeout = 200 * time.Millisecond
+	// maxPace is the highest pace that is accepted; a higher one is taken for an error.
+	maxPace = 1000.0
 )
 
-// Engines is the seam to the engines.
+// Engines queries engines for their pace.
 type Engines interface {
-	// Pace returns how many times as long as usual an engine takes for its work;
-	// 1 is as declared.
+	// Pace returns by what factor an engine is slower than usual; 1 is the declared speed.
 	Pace(ctx context.Context, address string) (float64, error)
 }
 
-// Pacer asks engines. The fields are set before Run.
+// Pacer queries engines. Set the fields before Run.
 type Pacer struct {
 	Balancer *balancer.Balancer
 	Engines  Engines
-	// Now is a clock that goes on while the machine is suspended.
+	// Now reads a clock that keeps running while the machine is suspended.
 	Now func() time.Duration
 	Log zerolog.Logger
 }
 
-// Run asks until ctx ends.
+// Run queries engines until ctx ends.
 func (p *Pacer) Run(ctx context.Context) {
-	tick := time.NewTicker(period)
+	tick := time.NewTicker(queryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -52,20 +50,20 @@
 		case <-tick.C:
 		}
 		for _, h := range p.Balancer.Ask(p.Now()) {
-			go p.ask(ctx, h)
+			go p.queryPace(ctx, h)
 		}
 	}
 }
 
-func (p *Pacer) ask(ctx context.Context, u balancer.Hop) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+func (p *Pacer) queryPace(ctx context.Context, u balancer.Hop) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	pace, err := p.Engines.Pace(ctx, u.Address)
 	if err != nil {
-		p.Log.Debug().Err(err).Str("upstream", u.ID).Msg("pacer: pace not learnt")
+		p.Log.Debug().Err(err).Str("upstream", u.ID).Msg("pacer: pace query failed")
 		return
 	}
-	if pace <= 0 || pace > slowest {
+	if pace <= 0 || pace > maxPace {
 		p.Log.Warn().Float64("pace", pace).Str("upstream", u.ID).Str("address", u.Address).Msg("pacer: impossible pace reported")
 		return
 	}
