--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// eventID is the id of an event; numbers are compared, other ids are not.
+// eventID is the id of a server-sent event. Only numeric ids have an order that can be checked.
 type eventID struct {
 	text   string
 	number int64
-	// numeric is set when number holds.
+	// numeric is set when text is a decimal integer; number is valid only then.
 	numeric bool
 }
 
@@ -18,8 +18,8 @@
 	return eventID{text: text, number: n, numeric: err == nil}
 }
 
-// follows reports whether id may come after last: one more, where both are
-// numbers.
+// follows reports whether id may come directly after last. Where both are numeric, id must be
+// last plus one.
 func (id eventID) follows(last eventID) bool {
 	if last.text == "" || !id.numeric || !last.numeric {
 		return true
@@ -27,24 +27,24 @@
 	return id.number == last.number+1
 }
 
-// cutEvents splits off the whole events at the start of b: each ends with an
-// empty line. It returns them, the rest, and the ids in order.
-func cutEvents(b []byte) (events, rest []byte, ids []eventID) {
+// splitEvents splits b after its last complete event; an event ends with an empty line. It
+// returns the complete events, the remaining bytes, and the events' ids in order.
+func splitEvents(b []byte) (events, rest []byte, ids []eventID) {
 	end := 0
 	for {
-		n := eventEnd(b[end:])
+		n := firstEventLength(b[end:])
 		if n < 0 {
 			return b[:end], b[end:], ids
 		}
-		if id, ok := idOf(b[end : end+n]); ok {
+		if id, ok := findEventID(b[end : end+n]); ok {
 			ids = append(ids, id)
 		}
 		end += n
 	}
 }
 
-// eventEnd is the length of the first whole event, or -1.
-func eventEnd(b []byte) int {
+// firstEventLength returns the length in bytes of the first complete event in b, or -1.
+func firstEventLength(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
@@ -57,7 +57,8 @@
 	}
 }
 
-func idOf(event []byte) (eventID, bool) {
+// findEventID returns the value of the event's id field, and false when it has none.
+func findEventID(event []byte) (eventID, bool) {
 	for line := range bytes.Lines(event) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			return parseEventID(string(bytes.TrimSpace(v))), true
--- a/forwarder/events_test.go
+++ b/forwarder/events_test.go
@@ -9,7 +9,7 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-func TestCutEvents(t *testing.T) {
+func TestSplitEvents(t *testing.T) {
 	for _, tc := range []struct{ in, events, rest, ids string }{
 		{"", "", "", ""},
 		{"id: 1\ndata: a\n", "", "id: 1\ndata: a\n", ""},
@@ -20,7 +20,7 @@
 	} {
 		t.Run(tc.in, func(t *testing.T) {
 			is := is.New(t)
-			events, rest, ids := cutEvents([]byte(tc.in))
+			events, rest, ids := splitEvents([]byte(tc.in))
 			var got []string
 			for _, id := range ids {
 				got = append(got, id.text)
@@ -36,14 +36,14 @@
 	is := is.New(t)
 	is.True(parseEventID("1").follows(eventID{}))
 	is.True(parseEventID("5").follows(parseEventID("4")))
-	is.True(!parseEventID("6").follows(parseEventID("4"))) // one is missing
-	is.True(!parseEventID("4").follows(parseEventID("4"))) // one comes twice
+	is.True(!parseEventID("6").follows(parseEventID("4"))) // event 5 is missing
+	is.True(!parseEventID("4").follows(parseEventID("4"))) // event 4 is repeated
 	is.True(parseEventID("b").follows(parseEventID("a")))
 }
 
-// FuzzCutEvents: whatever an upstream sends, in whatever pieces, is passed on
-// unchanged and in whole events.
-func FuzzCutEvents(f *testing.F) {
+// FuzzSplitEvents checks that any input, read in pieces of any size, is passed on unchanged and
+// in complete events.
+func FuzzSplitEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\r\n\r\n", 3)
 	f.Fuzz(func(t *testing.T, in string, size int) {
 		if size < 1 {
@@ -52,7 +52,7 @@
 		var out, pending []byte
 		for at := 0; at < len(in); at += size {
 			pending = append(pending, in[at:min(len(in), at+size)]...)
-			events, rest, _ := cutEvents(pending)
+			events, rest, _ := splitEvents(pending)
 			if len(events) > 0 && !strings.HasSuffix(string(events), "\n\n") && !strings.HasSuffix(string(events), "\r\n\r\n") {
 				t.Fatalf("%q does not end an event", events)
 			}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,10 +1,9 @@
-// Package forwarder answers callers with what upstreams say: it finds route and
-// workspace, sends the request to an upstream or over a path of engines, sends
-// it again where that is safe, and goes on with a stream elsewhere when it
-// breaks off.
+// Package forwarder proxies callers' requests to upstreams. It resolves the route and the
+// workspace, sends the request to one upstream or over a path of engines, retries it where that
+// is safe, and resumes an interrupted stream at another upstream.
 //
-// Bodies pass unchanged. Which upstream, how often and when to refuse is decided
-// by matcher, balancer and admitter; this package does the input and output.
+// Bodies are forwarded unchanged. Packages matcher, balancer and admitter decide which upstream
+// is used, how often a request is retried and when it is refused; this package does the I/O.
 package forwarder
 
 import (
@@ -30,31 +29,33 @@
 )
 
 const (
-	// defaultTimeout bounds requests that name no deadline on routes without
-	// a timeout.
+	// defaultTimeout bounds a request without a deadline on a route without a timeout.
 	defaultTimeout = 30 * time.Second
-	// bodyTimeout bounds the reading of a request's body.
-	bodyTimeout = 10 * time.Second
-	// defaultBody bounds bodies where the configuration doesn't.
-	defaultBody = 4 << 20
-	// rejections is how often a request may be turned away as not run before
-	// its caller is told to come back.
-	rejections = 3
-	// comeBack is the shortest Retry-After: about what an upstream takes to be
-	// back or layers to load. It is drawn from comeBack to twice that, so that
-	// callers refused together do not return together.
-	comeBack = 800 * time.Millisecond
-	// writeSlack is how long after its time an answer may still be written.
-	writeSlack = time.Second
+	// bodyReadTimeout bounds the time for reading a request's body.
+	bodyReadTimeout = 10 * time.Second
+	// defaultMaxBodyBytes bounds request bodies when the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// maxRejections is how many times upstreams may reject a request without running it before
+	// the caller gets a refusal with Retry-After.
+	maxRejections = 3
+	// minRetryAfter is the shortest Retry-After, about the time that an upstream takes to
+	// restart or to load layers. The value sent is random between minRetryAfter and twice
+	// that, so that callers refused together do not return together.
+	minRetryAfter = 800 * time.Millisecond
+	// writeGrace is how long after the request's deadline a response may still be written.
+	writeGrace = time.Second
 )
 
-// Tables tells what is in force and how old that is.
+// Tables provides the configuration in force.
 type Tables interface {
+	// Table returns the routing table; nil before the first configuration.
 	Table() *matcher.Table
+	// Age returns the time since the table was last known to be current.
 	Age() time.Duration
 }
 
-// Forwarder is an http.Handler. The fields are set before use.
+// Forwarder is the http.Handler that proxies callers' requests. Its exported fields are set
+// before use.
 type Forwarder struct {
 	Tables   Tables
 	Balancer *balancer.Balancer
@@ -63,130 +64,138 @@
 	Headers  Headers
 	// Budget returns the retry budget of a service.
 	Budget func(service string) *admitter.Window
-	// Latency returns the bound of a service's streams in flight.
+	// Latency returns the limit on a service's streams in flight.
 	Latency func(service string) *admitter.Latency
-	// Suspects keeps the crashes that requests were in flight for.
+	// Suspects records which requests were in flight when upstreams crashed.
 	Suspects *tracker.Suspects
-	// Informed reports whether this host was told which upstreams name a limit: it is not
-	// ready before. nil is always.
+	// Informed reports whether this host has learned which upstreams announce a request
+	// limit; until then the host is not ready. nil means always.
 	Informed func() bool
-	// KeysValid is how old the knowledge of keys may be; 0 means any age.
+	// KeysValid is the age of the configuration from which keys are no longer accepted; 0 means
+	// that they never expire.
 	KeysValid time.Duration
-	// Now is a clock that goes on while the machine is suspended.
+	// Now returns a monotonic time that advances while the machine is suspended.
 	Now   func() time.Duration
 	Meter *meter.Meter
 	Log   zerolog.Logger
 
 	stopping atomic.Bool
 	inFlight atomic.Int64
-	// heard is when an event or a connection last came from any upstream.
-	heard atomic.Int64
+	// lastContact is when any upstream last sent an event or accepted a connection, as
+	// nanoseconds of Now.
+	lastContact atomic.Int64
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// streams holds the attempts under way.
 	streams map[*attempt]struct{}
+	// probing holds the names of the probes under way, see beginProbe.
 	probing map[string]bool
 }
 
-// Stop makes the handler ask callers to close their connections.
+// Stop starts draining: the host is no longer ready, and responses ask callers to close their
+// connections.
 func (f *Forwarder) Stop() { f.stopping.Store(true) }
 
-// Ready reports whether requests can be answered.
+// Ready reports whether this host can serve requests.
 func (f *Forwarder) Ready() bool {
 	informed := f.Informed == nil || f.Informed()
-	return !f.stopping.Load() && f.Tables.Table() != nil && informed && f.keysValid()
+	return !f.stopping.Load() && f.Tables.Table() != nil && informed && f.keysFresh()
 }
 
-// InFlight is how many requests are being answered.
+// InFlight returns the number of requests being served.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// keysValid reports whether the knowledge of keys is young enough. A key that
-// was taken away must not run a request on a host that could not hear of it.
-func (f *Forwarder) keysValid() bool {
+// keysFresh reports whether the known keys are recent enough to authenticate a request. A host
+// that is cut off from updates must not accept a key that was revoked meanwhile.
+func (f *Forwarder) keysFresh() bool {
 	t := f.Tables.Table()
 	return f.KeysValid == 0 || t == nil || !t.Keyed || f.Tables.Age() < f.KeysValid
 }
 
-// call is one request of a caller.
+// call is one request of a caller and the state of serving it.
 type call struct {
 	*Forwarder
-	w         http.ResponseWriter
-	r         *http.Request
-	id        string
-	table     *matcher.Table
-	route     *matcher.Route
-	service   *matcher.Service
-	workspace *matcher.Workspace
-	keyed     bool
-	body      []byte
-	// fingerprint is the same when the caller sends the request once more.
+	w           http.ResponseWriter
+	r           *http.Request
+	id          string
+	table       *matcher.Table
+	route       *matcher.Route
+	service     *matcher.Service
+	workspace   *matcher.Workspace
+	keyRequired bool
+	body        []byte
+	// fingerprint is the same when the caller repeats the request.
 	fingerprint uint64
 	header      http.Header
 	deadline    time.Duration
-	// arrived is when it came, firstAfter how long its first event took.
-	arrived, firstAfter time.Duration
-	// avoid are upstreams that failed it.
+	// arrivedAt is when the request arrived. firstEventLatency is the time from then to the
+	// first event; 0 before it.
+	arrivedAt, firstEventLatency time.Duration
+	// avoid lists the upstreams that failed this request.
 	avoid []string
-	// runs counts upstreams that may have run it, turned how often it was
-	// turned away as not run.
-	runs, turned int
-	// ran are the first upstreams of its runs as a stream, in order.
-	ran []string
-	// offered is set once an upstream was sent it.
-	offered bool
-	// last is the id of the last event that was passed on.
-	last eventID
-	// answered is set once the caller was sent a status.
-	answered bool
-	// comeBack is when trying again is worthwhile where that is known; 0 is not.
-	comeBack time.Duration
-	// sampled is set once it was told whether the stream is late.
-	sampled atomic.Bool
+	// runs counts the upstreams that may have run the request, rejected the rejections by
+	// upstreams that did not run it.
+	runs, rejected int
+	// ranOn lists the first upstreams of the stream's attempts that may have run, in order.
+	ranOn []string
+	// sentOnce is set once the request was sent to an upstream.
+	sentOnce bool
+	// lastEventID is the id of the last event that the caller has; at first the one that the
+	// caller names in Last-Event-Id.
+	lastEventID eventID
+	// headerSent is set once the status and the headers were written to the caller.
+	headerSent bool
+	// retryAfter is the wait after which a retry can succeed; 0 when it is not known.
+	retryAfter time.Duration
+	// latencySampled is set once this stream was counted as late or in time.
+	latencySampled atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	k := &call{Forwarder: f, w: w, r: r, id: r.Header.Get(f.Headers.RequestID), table: f.Tables.Table(), arrived: f.Now()}
+	k := &call{Forwarder: f, w: w, r: r, id: r.Header.Get(f.Headers.RequestID), table: f.Tables.Table(), arrivedAt: f.Now()}
 	if f.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if !k.admit() || !k.readBody() {
+	if !k.resolve() || !k.readBody() {
 		return
 	}
 	k.fingerprint = fingerprintOf(k)
-	if k.quarantined() {
+	if k.refuseQuarantined() {
 		return
 	}
 	ctl := http.NewResponseController(w)
 	left := k.deadline - f.Now()
-	ctl.SetWriteDeadline(time.Now().Add(left + writeSlack))
+	ctl.SetWriteDeadline(time.Now().Add(left + writeGrace))
 	ctx, cancel := context.WithTimeout(r.Context(), left)
 	defer cancel()
 	k.Budget(k.service.Name).Request(f.Now())
 	if k.route.Kind == matcher.KindStreaming {
-		k.stream(ctx)
+		k.serveStream(ctx)
 		return
 	}
-	k.plain(ctx)
+	k.servePlain(ctx)
 }
 
-// admit finds the route and the workspace, or refuses.
-func (k *call) admit() bool {
+// resolve finds the route, the workspace and the service and sets the deadline. It returns false
+// after refusing the request.
+func (k *call) resolve() bool {
 	if k.table == nil {
 		return k.refuse(admitter.ReasonNotReady, "no configuration yet")
 	}
 	path, _, _ := strings.Cut(k.r.RequestURI, "?")
 	k.route = k.table.Route(k.r.Host, path)
 	if k.route == nil {
-		if !k.keysValid() {
+		if !k.keysFresh() {
 			return k.refuse(admitter.ReasonNotReady, "configuration too old")
 		}
 		return k.refuse(admitter.ReasonUnknown, "no route")
 	}
-	k.keyed = k.table.Keyed && !k.route.Public
-	if k.keyed {
-		if !k.keysValid() {
+	k.keyRequired = k.table.Keyed && !k.route.Public
+	if k.keyRequired {
+		if !k.keysFresh() {
 			return k.refuse(admitter.ReasonNotReady, "keys too old")
 		}
 		key, _ := strings.CutPrefix(k.r.Header.Get("Authorization"), "Bearer ")
@@ -203,7 +212,7 @@
 	return true
 }
 
-// timeout is the shorter of what the caller and the route allow.
+// timeout returns the shorter of the caller's and the route's timeout.
 func (k *call) timeout() time.Duration {
 	out := k.route.Timeout
 	if v := parseNumber(k.r.Header.Get(k.Headers.DeadlineMs)); v > 0 {
@@ -217,11 +226,12 @@
 	return out
 }
 
-// readBody reads the body whole, so that it can be sent again.
+// readBody reads the whole body, so that the request can be sent again. It returns false after
+// refusing the request.
 func (k *call) readBody() bool {
 	limit := k.table.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if k.r.ContentLength > limit {
 		return k.refuse(admitter.ReasonTooLarge, "body too large")
@@ -230,7 +240,7 @@
 		return true
 	}
 	ctl := http.NewResponseController(k.w)
-	ctl.SetReadDeadline(time.Now().Add(bodyTimeout))
+	ctl.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(k.w, k.r.Body, limit))
 	ctl.SetReadDeadline(time.Time{})
 	var large *http.MaxBytesError
@@ -244,8 +254,8 @@
 	return true
 }
 
-// status is the HTTP status of each refusal.
-func status(reason admitter.Reason) int {
+// httpStatus returns the HTTP status code for a refusal.
+func httpStatus(reason admitter.Reason) int {
 	switch reason {
 	case admitter.ReasonUnauthorised:
 		return http.StatusUnauthorized
@@ -264,12 +274,13 @@
 	}
 }
 
-// refuse gives the final answer at once. It always returns false.
+// refuse writes the response for a refused request. It always returns false, so that callers can
+// return its result.
 func (k *call) refuse(reason admitter.Reason, detail string) bool {
-	code := status(reason)
+	code := httpStatus(reason)
 	h := k.w.Header()
 	if code == http.StatusServiceUnavailable {
-		wait := max(k.comeBack, comeBack+time.Duration(rand.Float64()*float64(comeBack)))
+		wait := max(k.retryAfter, minRetryAfter+time.Duration(rand.Float64()*float64(minRetryAfter)))
 		h.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 2, 64))
 	}
 	if k.id != "" {
@@ -278,19 +289,19 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	k.Meter.Refusals.WithLabelValues(reason.String()).Inc()
 	line := k.Log.Info().Str("requestId", k.id).Str("path", k.r.URL.Path).Stringer("reason", reason).Int("status", code).
-		Int("runs", k.runs).Int("turned", k.turned).Strs("avoid", k.avoid).Dur("age", k.Tables.Age())
+		Int("runs", k.runs).Int("turned", k.rejected).Strs("avoid", k.avoid).Dur("age", k.Tables.Age())
 	if k.deadline > 0 {
 		line.Dur("left", k.deadline-k.Now())
 	}
 	line.Msg("forwarder: refused: " + detail)
-	k.answered = true
+	k.headerSent = true
 	k.w.WriteHeader(code)
 	_, _ = io.WriteString(k.w, reason.String()+": "+detail+"\n")
 	return false
 }
 
-// request is what an upstream is sent.
-func (k *call) request(l *balancer.Lease) *connector.Request {
+// upstreamRequest builds the request to the first upstream of a lease.
+func (k *call) upstreamRequest(l *balancer.Lease) *connector.Request {
 	if k.header == nil {
 		k.header = k.Headers.outgoing(k.r.Header, k.table.Keyed)
 	}
@@ -315,9 +326,9 @@
 	}
 }
 
-// acquire reserves upstreams, or refuses.
+// acquire reserves upstreams. It returns nil after refusing the request.
 func (k *call) acquire(n balancer.Need) *balancer.Lease {
-	if k.keyed && !k.keysValid() {
+	if k.keyRequired && !k.keysFresh() {
 		k.refuse(admitter.ReasonNotReady, "keys too old")
 		return nil
 	}
@@ -325,20 +336,20 @@
 	n.Avoid = k.avoid
 	l, reason := k.Balancer.Acquire(k.Now(), n)
 	if l == nil && len(k.avoid) > 0 {
-		// Better an upstream that failed once than none.
+		// An upstream that failed once is better than none.
 		n.Avoid = nil
 		l, reason = k.Balancer.Acquire(k.Now(), n)
 	}
 	if l == nil {
-		k.giveUp(reason)
+		k.refuseNoUpstream(reason)
 	} else if len(l.HeldOff) > 0 {
 		k.Log.Debug().Str("requestId", k.id).Str("upstream", l.First.ID).Strs("heldOff", l.HeldOff).Msg("forwarder: upstreams passed over for their limit")
 	}
 	return l
 }
 
-// giveUp refuses for want of a place.
-func (k *call) giveUp(reason balancer.Reason) {
+// refuseNoUpstream refuses a request for which the balancer found no upstream.
+func (k *call) refuseNoUpstream(reason balancer.Reason) {
 	switch {
 	case k.runs > 0 && !k.route.Repeatable():
 		k.refuse(admitter.ReasonOutcomeUnknown, "may have run")
@@ -346,7 +357,7 @@
 		k.refuse(admitter.ReasonUpstream, "no further upstream: "+reason.String())
 	case reason == balancer.ReasonLimit:
 		wait := k.Balancer.LimitWait(k.Now(), k.service.Name)
-		k.comeBack = wait + time.Duration(rand.Float64()*float64(comeBack))
+		k.retryAfter = wait + time.Duration(rand.Float64()*float64(minRetryAfter))
 		k.refuse(admitter.ReasonUpstreamLimit, "upstreams with room are at their limits")
 	case reason == balancer.ReasonNoRoom:
 		k.refuse(admitter.ReasonQueueFull, "no room")
@@ -355,18 +366,18 @@
 	}
 }
 
-// again reports whether the request may be sent once more; otherwise it was
-// refused.
-func (k *call) again(ctx context.Context, v verdict) bool {
+// retryOrRefuse reports whether the request may be sent once more, and takes a retry from the
+// budget for it. Otherwise it refuses the request, unless the caller has gone.
+func (k *call) retryOrRefuse(ctx context.Context, v verdict) bool {
 	if k.r.Context().Err() != nil {
 		return false
 	}
 	if ctx.Err() != nil {
-		k.expired()
+		k.refuseExpired()
 		return false
 	}
 	if v == verdictNotRun {
-		k.turned++
+		k.rejected++
 	} else {
 		k.runs++
 	}
@@ -376,10 +387,10 @@
 	if k.runs >= k.route.MaxAttempts {
 		return k.refuse(admitter.ReasonUpstream, "no attempts left")
 	}
-	if k.quarantined() {
+	if k.refuseQuarantined() {
 		return false
 	}
-	if k.turned > rejections || !k.Budget(k.service.Name).Spend(k.Now()) {
+	if k.rejected > maxRejections || !k.Budget(k.service.Name).Spend(k.Now()) {
 		if k.runs > 0 {
 			return k.refuse(admitter.ReasonRetryBudget, "no retries left")
 		}
@@ -389,9 +400,9 @@
 	return true
 }
 
-// expired answers a request whose time is over.
-func (k *call) expired() {
-	if k.runs == 0 && !k.offered {
+// refuseExpired refuses a request whose deadline has passed.
+func (k *call) refuseExpired() {
+	if k.runs == 0 && !k.sentOnce {
 		k.refuse(admitter.ReasonQueueFull, "time is over before it was sent")
 		return
 	}
--- a/forwarder/headers.go
+++ b/forwarder/headers.go
@@ -8,38 +8,41 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// Headers are the names under which callers, hosts and upstreams tell each
-// other about a request.
+// Headers holds the names of the headers that callers, hosts and upstreams exchange about a
+// request.
 type Headers struct {
-	// RequestID names one attempt of a caller; an upstream repeats it.
+	// RequestID identifies one attempt of a caller; the upstream returns it unchanged.
 	RequestID string
-	// DeadlineMs is how many milliseconds are left.
+	// DeadlineMs is the time left for the request, in milliseconds.
 	DeadlineMs string
-	// Workspace is set by the host, from the key.
+	// Workspace is the name of the workspace; the host sets it from the key.
 	Workspace string
-	// Instance is the upstream that a request is meant for.
+	// Instance is the ID of the upstream that a request is meant for.
 	Instance string
-	// Path lists the upstreams that a request passes and their layers.
+	// Path lists the upstreams that run a request in turn and their layers, see FormatPath.
 	Path string
-	// Fault is the address of the upstream that made another one refuse.
+	// Fault is the address of the upstream on the path because of which the first one rejected
+	// the request.
 	Fault string
-	// NotRun is set in answers to requests that did not run.
+	// NotRun is set in a response when the request did not run.
 	NotRun string
-	// Stamp is an upstream's signature of its answer.
+	// Stamp is an upstream's signature of its response.
 	Stamp string
-	// Load is running, waiting and slots of an upstream.
+	// Load holds an upstream's running and waiting requests and its slots, separated by commas.
 	Load string
-	// Limit is the requests a second that an upstream in need takes from all hosts.
+	// Limit is how many requests a second an overloaded upstream accepts from all hosts
+	// together.
 	Limit string
-	// Tokens is the prompt's tokens and the most to answer.
+	// Tokens holds the number of tokens in the prompt and the maximum in the answer, separated
+	// by a comma.
 	Tokens string
-	// Length is the caller's estimate of the answer's tokens.
+	// Length is the caller's estimate of the number of tokens in the answer.
 	Length string
-	// Urgency and Version are set by hosts only.
+	// Urgency and Version are set by hosts only; a caller's values are removed.
 	Urgency, Version string
 }
 
-// DefaultHeaders are the project's own names.
+// DefaultHeaders holds the header names that are used unless others are configured.
 var DefaultHeaders = Headers{
 	RequestID:  "Attempt-Id",
 	DeadlineMs: "Deadline-Ms",
@@ -57,15 +60,14 @@
 	Version:    "Expect-Version",
 }
 
-// hopByHop headers concern one connection only.
+// hopByHop lists the headers that apply to one connection only and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// outgoing are a caller's headers as an upstream gets them. Those that only
-// hosts set are dropped: a caller that sent them could run under another
-// workspace's name.
+// outgoing returns the headers to forward to an upstream. It removes those that only hosts may
+// set: otherwise a caller could run requests in the name of another workspace.
 func (h *Headers) outgoing(in http.Header, keyed bool) http.Header {
 	out := in.Clone()
 	dropHopByHop(out)
@@ -78,6 +80,8 @@
 	return out
 }
 
+// dropHopByHop removes the headers that concern one connection only, also those that the
+// Connection header names.
 func dropHopByHop(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
@@ -89,7 +93,8 @@
 	}
 }
 
-// incoming copies an upstream's headers for the caller.
+// incoming copies an upstream's response headers to the caller's, without those that are meant for
+// hosts.
 func (h *Headers) incoming(to, from http.Header) {
 	from = from.Clone()
 	dropHopByHop(from)
@@ -100,7 +105,7 @@
 		to[name] = v
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		// Keeps the library from guessing one.
+		// A nil value keeps net/http from detecting a type.
 		to["Content-Type"] = nil
 	}
 }
@@ -114,7 +119,7 @@
 	return strings.Join(parts, ",")
 }
 
-// parseLoad reads running, waiting and slots; nil when it isn't there.
+// parseLoad parses "RUNNING,WAITING,SLOTS"; it returns nil when v has another form.
 func parseLoad(v string) *balancer.Load {
 	parts := strings.Split(v, ",")
 	if len(parts) != 3 {
@@ -130,13 +135,14 @@
 	return &balancer.Load{Running: n[0], Waiting: n[1], Slots: n[2]}
 }
 
-// parseTokens reads the prompt's tokens and the most to answer.
-func parseTokens(v string) (prompt, most float64) {
+// parseTokens parses "PROMPT,MAX", the number of tokens in the prompt and the maximum in the
+// answer. A missing or invalid number is 0.
+func parseTokens(v string) (prompt, maxTokens float64) {
 	p, m, _ := strings.Cut(v, ",")
 	return parseNumber(p), parseNumber(m)
 }
 
-// parseNumber is 0 where there is no number above 0.
+// parseNumber returns the number in v, or 0 when v is not a number or is negative.
 func parseNumber(v string) float64 {
 	n, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
 	if err != nil || n < 0 {
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -8,11 +8,11 @@
 	"github.com/sardineward/sardineward/limiter"
 )
 
-// heardLimit takes in the limit that an answer names to a request sent at sent. An
-// answer without one ends the limit only where it is surely the upstream's own.
-func (k *call) heardLimit(l *balancer.Lease, resp *http.Response, sent time.Duration) {
+// observeLimit updates the upstream's request limit from its response to a request sent at sent. A
+// response without a limit header ends the limit only if it surely comes from that upstream.
+func (k *call) observeLimit(l *balancer.Lease, resp *http.Response, sent time.Duration) {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
-		return // of another upstream at that address
+		return // the response is from another upstream at that address
 	}
 	perSecond, err := limiter.Parse(resp.Header.Values(k.Headers.Limit))
 	id := l.First.ID
@@ -23,12 +23,12 @@
 		}
 		return
 	}
-	own := resp.Header.Get(k.Headers.Stamp) != "" || resp.Header.Get(k.Headers.NotRun) != ""
-	if perSecond == limiter.Unlimited && !own {
+	surelyOwn := resp.Header.Get(k.Headers.Stamp) != "" || resp.Header.Get(k.Headers.NotRun) != ""
+	if perSecond == limiter.Unlimited && !surelyOwn {
 		return
 	}
-	ch, changed := k.Balancer.ObserveLimit(k.Now(), sent, id, l.Born, perSecond)
+	change, changed := k.Balancer.ObserveLimit(k.Now(), sent, id, l.Born, perSecond)
 	if changed {
-		k.Log.Info().Str("requestId", k.id).EmbedObject(&ch).Msg("forwarder: " + ch.String())
+		k.Log.Info().Str("requestId", k.id).EmbedObject(&change).Msg("forwarder: " + change.String())
 	}
 }
--- a/forwarder/moves.go
+++ b/forwarder/moves.go
@@ -6,32 +6,32 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// moves makes the changes of one stream's path one at a time. Several upstreams of a
-// path are mostly lost together; each would have the path changed for itself, and the
-// new holders would read what the stream has so far once for each.
-type moves struct {
-	mu   sync.Mutex
-	busy bool
-	// lost are upstreams that were found lost while the path was being changed.
+// pathChanges serializes the changes of one stream's path. Upstreams of a path often fail
+// together; with one change for each, their replacements would process the tokens so far once for
+// every change.
+type pathChanges struct {
+	mu         sync.Mutex
+	inProgress bool
+	// lost queues the upstreams that failed while the path was being changed.
 	lost []balancer.Hop
 }
 
-// begin reports whether the path is to be changed now. Else it is being changed, and
-// end tells of the upstream.
-func (m *moves) begin(lost balancer.Hop) bool {
+// begin reports whether the caller is to change the path now. Otherwise a change is in progress,
+// and end returns the lost upstream when it is done.
+func (m *pathChanges) begin(lost balancer.Hop) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.busy {
+	if m.inProgress {
 		m.lost = append(m.lost, lost)
 		return false
 	}
-	m.busy = true
+	m.inProgress = true
 	return true
 }
 
-// end returns an upstream that was lost meanwhile and that the path still has, for
-// which it is to be changed again; false when there is none.
-func (m *moves) end(path []balancer.Hop) (balancer.Hop, bool) {
+// end finishes a change. It returns the next upstream that was lost meanwhile and is still on the
+// path, for which the path is to be changed again, or false when there is none.
+func (m *pathChanges) end(path []balancer.Hop) (balancer.Hop, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for len(m.lost) > 0 {
@@ -43,6 +43,6 @@
 			}
 		}
 	}
-	m.busy = false
+	m.inProgress = false
 	return balancer.Hop{}, false
 }
--- a/forwarder/moves_test.go
+++ b/forwarder/moves_test.go
@@ -22,18 +22,18 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// repaths counts the orders to change a path, each of which takes a while.
-type repaths struct {
-	mu   sync.Mutex
-	took time.Duration
-	hops [][]balancer.Hop
+// repathEngines records the requests to change a path, each of which takes duration.
+type repathEngines struct {
+	mu       sync.Mutex
+	duration time.Duration
+	hops     [][]balancer.Hop
 }
 
-func (e *repaths) Repath(ctx context.Context, _ string, hops []balancer.Hop) error {
+func (e *repathEngines) Repath(ctx context.Context, _ string, hops []balancer.Hop) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(e.took):
+	case <-time.After(e.duration):
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,16 +41,16 @@
 	return nil
 }
 
-func (e *repaths) Stalled(context.Context, string) ([]Stall, error) { return nil, nil }
+func (e *repathEngines) Stalled(context.Context, string) ([]Stall, error) { return nil, nil }
 
-// dialAny takes every connection.
-func dialAny(context.Context, string, string) (net.Conn, error) {
+// acceptAnyDial is a dial function that always succeeds.
+func acceptAnyDial(context.Context, string, string) (net.Conn, error) {
 	c, _ := net.Pipe()
 	return c, nil
 }
 
-// TestLostTogether guards against a stream whose path is changed once for each of the
-// upstreams that are lost at the same moment.
+// TestLostTogether guards against changing a stream's path once for each of several upstreams
+// that fail at the same moment.
 func TestLostTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -64,26 +64,26 @@
 				b.List([]balancer.Upstream{{ID: id, Address: id, Service: "model", DataCentre: "a", Holds: balancer.Span{From: 4 * i, To: 4 * (i + 1)}}}, nil)
 			}
 		}
-		engines := &repaths{took: 20 * time.Millisecond}
+		engines := &repathEngines{duration: 20 * time.Millisecond}
 		started := time.Now()
 		f := &Forwarder{
-			Balancer: b, Engines: engines, Pool: &connector.Pool{Dial: dialAny}, Suspects: new(tracker.Suspects),
+			Balancer: b, Engines: engines, Pool: &connector.Pool{Dial: acceptAnyDial}, Suspects: new(tracker.Suspects),
 			Now: func() time.Duration { return time.Since(started) + time.Second }, Log: zerolog.Nop(),
 		}
 		l, reason := b.Acquire(f.Now(), balancer.Need{Service: "model", Prompt: 700, Answer: 200})
 		is.Equal(reason, balancer.ReasonNone)
-		a := &attempt{id: "r", lease: l, cancel: func(error) { t.Error("stream resumed as a new request") }}
+		a := &attempt{id: "r", lease: l, cancel: func(error) { t.Error("stream was resumed as a new request; want its path changed") }}
 		a.begun.Store(true)
 		f.track(a)
 		path := b.Path(l)
 		lost := []balancer.Hop{path[1], path[2], path[4]}
 		for _, h := range lost {
-			f.learn(t.Context(), h, errors.New("refused"))
+			f.recordProbe(t.Context(), h, errors.New("refused"))
 		}
 		time.Sleep(time.Second)
 		engines.mu.Lock()
 		defer engines.mu.Unlock()
-		is.True(len(engines.hops) <= 2) // the first order, and one for what was lost while it was under way
+		is.True(len(engines.hops) <= 2) // one change, and one more for the upstreams lost during it
 		for _, h := range b.Path(l) {
 			is.True(!slices.ContainsFunc(lost, func(o balancer.Hop) bool { return o.ID == h.ID }))
 		}
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -14,34 +14,34 @@
 
 //go:generate enumer -type verdict -trimprefix verdict -transform title-lower -output verdict_gen.go
 
-// verdict is what an attempt that gave no answer to pass on tells.
+// verdict is the outcome of one attempt to send a request.
 type verdict int
 
 const (
-	// verdictAnswered: there is an answer to pass on.
+	// verdictAnswered: there is a response for the caller.
 	verdictAnswered verdict = iota
-	// verdictNotRun: the upstream did not run it, and never will.
+	// verdictNotRun: the upstream did not run the request and never will.
 	verdictNotRun
-	// verdictMayHaveRun: it may have run, or may run yet.
+	// verdictMayHaveRun: the request may have run, or may still run.
 	verdictMayHaveRun
-	// verdictFailed: it ran and failed; a repeatable request may do better
-	// elsewhere.
+	// verdictFailed: the request ran and failed; a repeatable one may succeed at another
+	// upstream.
 	verdictFailed
-	// verdictBroken: a stream broke off.
+	// verdictBroken: the stream was interrupted.
 	verdictBroken
 )
 
-// maxAnswer bounds answers that are held whole before they are passed on.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds a response that is buffered whole before it is forwarded.
+const maxAnswerBytes = 16 << 20
 
-// answer is an upstream's whole answer.
+// answer is an upstream's complete response, with its body read.
 type answer struct {
 	*http.Response
 	body []byte
 }
 
-// plain answers a request whose answer is one body.
-func (k *call) plain(ctx context.Context) {
+// servePlain serves a request whose response is not a stream.
+func (k *call) servePlain(ctx context.Context) {
 	for {
 		l := k.acquire(balancer.Need{})
 		if l == nil {
@@ -50,11 +50,11 @@
 		a, v := k.exchange(ctx, l)
 		k.Balancer.Release(l)
 		if v == verdictAnswered {
-			k.pass(a)
+			k.writeAnswer(a)
 			return
 		}
 		if v == verdictFailed && (!k.route.Repeatable() || k.runs+1 >= k.route.MaxAttempts || !k.Budget(k.service.Name).Spend(k.Now())) {
-			k.pass(a)
+			k.writeAnswer(a)
 			return
 		}
 		k.avoid = append(k.avoid, l.First.ID)
@@ -63,40 +63,41 @@
 			k.Meter.Retries.WithLabelValues(v.String()).Inc()
 			continue
 		}
-		if !k.again(ctx, v) {
+		if !k.retryOrRefuse(ctx, v) {
 			return
 		}
 	}
 }
 
-// exchange sends the request to one upstream and reads its whole answer.
+// exchange sends the request to one upstream and reads its complete response.
 func (k *call) exchange(ctx context.Context, l *balancer.Lease) (*answer, verdict) {
 	id := l.First.ID
 	sent := k.Now()
-	resp, err := k.Pool.Do(ctx, k.request(l))
+	resp, err := k.Pool.Do(ctx, k.upstreamRequest(l))
 	if err != nil {
-		return nil, k.unanswered(ctx, l, err)
+		return nil, k.classifyError(ctx, l, err)
 	}
-	k.offered = true
-	k.heardLimit(l, resp.Response, sent)
-	body, err := io.ReadAll(io.LimitReader(resp, maxAnswer))
+	k.sentOnce = true
+	k.observeLimit(l, resp.Response, sent)
+	body, err := io.ReadAll(io.LimitReader(resp, maxAnswerBytes))
 	whole := resp.Done()
 	if err != nil || !whole {
 		k.Balancer.Failed(id)
-		k.logAttempt(l, "answer broke off", err)
+		k.logAttempt(l, "response ended early", err)
 		return nil, verdictMayHaveRun
 	}
-	return k.judge(l, &answer{resp.Response, body}, sent)
+	return k.classifyAnswer(l, &answer{resp.Response, body}, sent)
 }
 
-// unanswered says what a request that got no answer tells.
-func (k *call) unanswered(ctx context.Context, l *balancer.Lease, err error) verdict {
+// classifyError returns the verdict on a request that got no response, and records the failure of
+// the upstream.
+func (k *call) classifyError(ctx context.Context, l *balancer.Lease, err error) verdict {
 	var e *connector.Error
 	if !errors.As(err, &e) {
 		e = &connector.Error{Sent: true}
 	}
 	if e.Sent {
-		k.offered = true
+		k.sentOnce = true
 	}
 	if ctx.Err() == nil {
 		if e.Dial {
@@ -108,7 +109,7 @@
 		}
 		k.logAttempt(l, "no answer", err)
 		if e.Sent {
-			k.checkCrash(ctx, l.First)
+			k.detectCrash(ctx, l.First)
 		}
 	}
 	if e.Sent {
@@ -117,17 +118,17 @@
 	return verdictNotRun
 }
 
-// judge says what a whole answer tells.
-func (k *call) judge(l *balancer.Lease, a *answer, sent time.Duration) (*answer, verdict) {
+// classifyAnswer returns the verdict on a complete response, and records it with the balancer.
+func (k *call) classifyAnswer(l *balancer.Lease, a *answer, sent time.Duration) (*answer, verdict) {
 	id := l.First.ID
-	if v, ok := k.refusedBy(l, a.Response, sent); ok {
+	if v, ok := k.handleRejection(l, a.Response, sent); ok {
 		return nil, v
 	}
 	success := a.StatusCode/100 == 2
 	if success && (a.Header.Get(k.Headers.Stamp) == "" || a.Header.Get("Content-Encoding") != "") {
-		// An answer without its signature is not the upstream's own.
+		// A response without the signature does not come from the upstream.
 		k.Balancer.Failed(id)
-		k.logAttempt(l, "answer without signature", nil)
+		k.logAttempt(l, "response has no signature", nil)
 		return nil, verdictMayHaveRun
 	}
 	if a.StatusCode >= http.StatusInternalServerError {
@@ -139,20 +140,20 @@
 	return a, verdictAnswered
 }
 
-// stalled is how long an upstream takes at the least to find that another one
-// on the path is dead; one that has no room is known at once.
-const stalled = time.Second
+// minHopFailureDelay is the least time in which the first upstream detects that another one on the
+// path is dead. A rejection before that means that the other one has no room, which is known at once.
+const minHopFailureDelay = time.Second
 
-// refusedBy reports whether an upstream turned the request away, and learns who
-// is at fault.
-func (k *call) refusedBy(l *balancer.Lease, resp *http.Response, sent time.Duration) (verdict, bool) {
+// handleRejection reports whether the response rejects the request without running it, and records
+// which upstream of the path is the reason.
+func (k *call) handleRejection(l *balancer.Lease, resp *http.Response, sent time.Duration) (verdict, bool) {
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
 	if !misdirected && resp.Header.Get(k.Headers.NotRun) == "" {
 		return verdictAnswered, false
 	}
 	id, at := l.First.ID, resp.Header.Get(k.Headers.Fault)
 	if at != "" {
-		// Two upstreams may be listed at one address: the hop's is meant.
+		// Several upstreams may be listed at one address; the one on the path is meant.
 		for _, h := range k.Balancer.Path(l) {
 			if h.Address == at {
 				id = h.ID
@@ -160,7 +161,7 @@
 		}
 	}
 	k.avoid = append(k.avoid, id)
-	if misdirected || (at != "" && k.Now()-sent > stalled) {
+	if misdirected || (at != "" && k.Now()-sent > minHopFailureDelay) {
 		k.Balancer.Out(k.Now(), id)
 	} else if at != "" {
 		k.Balancer.Turned(k.Now(), id)
@@ -171,26 +172,28 @@
 	return verdictNotRun, true
 }
 
+// logAttempt logs what happened to an attempt, with its path and the time left.
 func (k *call) logAttempt(l *balancer.Lease, what string, err error) {
 	k.Log.Info().Str("requestId", k.id).Str("upstream", l.First.ID).Str("hops", FormatPath(k.Balancer.Path(l))).Err(err).
 		Dur("left", k.deadline-k.Now()).Msg("forwarder: " + what)
 }
 
-// pass gives the caller an upstream's answer unchanged.
-func (k *call) pass(a *answer) {
-	k.answered = true
+// writeAnswer writes an upstream's response to the caller unchanged.
+func (k *call) writeAnswer(a *answer) {
+	k.headerSent = true
 	k.Headers.incoming(k.w.Header(), a.Header)
 	k.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	k.w.WriteHeader(a.StatusCode)
 	_, _ = k.w.Write(a.body)
-	k.served()
+	k.recordSuccess()
 }
 
-func (k *call) served() {
+// recordSuccess counts a served request and clears its strikes.
+func (k *call) recordSuccess() {
 	name := ""
 	if k.workspace != nil {
 		name = k.workspace.Name
 	}
 	k.Meter.Requests.WithLabelValues(name, k.route.Kind.String()).Inc()
-	k.cleared()
+	k.clearStrikes()
 }
--- a/forwarder/quarantine_test.go
+++ b/forwarder/quarantine_test.go
@@ -16,7 +16,8 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// TestCallerGoneInCheck guards against an upstream blamed for a caller who left.
+// TestCallerGoneInCheck guards against marking an upstream as crashed because the caller
+// disconnected during the check.
 func TestCallerGoneInCheck(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(context.Background())
@@ -32,7 +33,7 @@
 		Now: func() time.Duration { return time.Second }, Log: zerolog.Nop(),
 	}
 	k := &call{Forwarder: f, r: new(http.Request), id: "r", fingerprint: 7}
-	k.checkCrash(ctx, balancer.Hop{ID: "one", Address: "10.0.0.1:1"})
+	k.detectCrash(ctx, balancer.Hop{ID: "one", Address: "10.0.0.1:1"})
 	is.True(!b.Lost("one"))
 	is.Equal(len(b.Dead(0, 1)), 0)
 	is.Equal(len(f.Suspects.Of(time.Now(), 7)), 0)
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -11,142 +11,147 @@
 	"github.com/sardineward/sardineward/connector"
 )
 
-// slowPart is the part of the time that callers allow, as a divisor, from which an
-// event counts as slow: twice the usual, and early enough to go elsewhere.
-const slowPart = 2
+// slowDivisor divides the time that callers expect for an event; an event that takes longer than
+// the quotient counts as slow. That is twice the usual time, and early enough to use another path.
+const slowDivisor = 2
 
-// progress is how far a run has come.
+// progress tracks the events that one attempt has delivered.
 type progress struct {
+	// begun is set with the first event.
 	begun bool
-	// last is when its last event was passed on, gap the longest pause between
-	// two.
-	last, gap time.Duration
+	// lastEvent is when the last event was written, longestGap the longest pause between two.
+	lastEvent, longestGap time.Duration
 }
 
-// relay passes whole events on as they come. An event that broke off in the
-// middle is left out, so that another run can go on after the last whole one.
+// relay writes complete events to the caller as they arrive. It drops an event that was cut off, so
+// that another attempt can resume after the last complete one.
 func (k *call) relay(ctx context.Context, a *attempt, resp *connector.Response) verdict {
 	ctl := http.NewResponseController(k.w)
-	buf := make([]byte, readSize)
+	buf := make([]byte, readBufferSize)
 	var pending []byte
-	at := progress{last: a.began}
+	at := progress{lastEvent: a.sentAt}
 	for {
 		n, err := resp.Read(buf)
 		pending = append(pending, buf[:n]...)
-		events, rest, ids := cutEvents(pending)
+		events, rest, ids := splitEvents(pending)
 		if len(events) > 0 {
-			if !k.inOrder(a.lease, ids) {
+			if !k.checkOrder(a.lease, ids) {
 				return verdictBroken
 			}
-			k.head(resp)
+			k.writeHeader(resp)
 			if _, err := k.w.Write(events); err != nil {
-				return k.callerGone()
+				return k.abortForCaller()
 			}
 			if err := ctl.Flush(); err != nil {
-				return k.callerGone()
+				return k.abortForCaller()
 			}
-			k.passedOn(a, &at)
+			k.recordEvents(a, &at)
 		}
 		pending = append(pending[:0], rest...)
 		switch {
 		case errors.Is(err, io.EOF) && len(pending) == 0 && at.begun:
-			k.streamed(a, at.gap)
+			k.recordCompletion(a, at.longestGap)
 			return verdictAnswered
 		case err != nil:
-			k.brokeOff(ctx, a.lease, err)
+			k.recordBreak(ctx, a.lease, err)
 			return verdictBroken
 		}
 	}
 }
 
-// passedOn notes events that were passed on just now: the upstreams of the path
-// live, and the stream is in time or late. A stream whose path was changed tells
-// nothing of load.
-func (k *call) passedOn(a *attempt, at *progress) {
+// recordEvents records that events were written just now: the upstreams of the path are alive, and
+// the stream is in time or late. The timing of a stream whose path was changed is ignored, as it
+// says nothing about load.
+func (k *call) recordEvents(a *attempt, at *progress) {
 	now := k.Now()
-	a.last.Store(int64(now))
-	k.heard.Store(int64(now))
-	moved := a.moves.Load() > 0
+	a.lastEvent.Store(int64(now))
+	k.lastContact.Store(int64(now))
+	repathed := a.repaths.Load() > 0
 	if !at.begun {
-		k.firstAfter = now - k.arrived
-		k.Meter.FirstToken.Observe(k.firstAfter.Seconds())
-		if !moved {
-			k.Balancer.First(a.lease, now, now-a.began)
+		k.firstEventLatency = now - k.arrivedAt
+		k.Meter.FirstToken.Observe(k.firstEventLatency.Seconds())
+		if !repathed {
+			k.Balancer.First(a.lease, now, now-a.sentAt)
 		}
-		if !moved && k.route.Target > 0 && now-a.began > k.route.Target {
-			k.sample(now, true)
+		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target {
+			k.sampleLatency(now, true)
 		}
-		if !moved && k.route.Target > 0 && now-a.began > k.route.Target/slowPart {
+		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target/slowDivisor {
 			k.Balancer.Slow(now, a.lease)
 		}
 		k.Balancer.Begun(now, a.lease)
 		a.begun.Store(true)
-		at.begun, at.last = true, now
+		at.begun, at.lastEvent = true, now
 		return
 	}
 	k.Balancer.Progress(now, a.lease)
-	pause := now - at.last
-	at.gap, at.last = max(at.gap, pause), now
-	if !moved && k.route.Gap > 0 && pause > k.route.Gap {
-		k.sample(now, true)
+	pause := now - at.lastEvent
+	at.longestGap, at.lastEvent = max(at.longestGap, pause), now
+	if !repathed && k.route.Gap > 0 && pause > k.route.Gap {
+		k.sampleLatency(now, true)
 	}
-	if !moved && k.route.Gap > 0 && pause > k.route.Gap/slowPart {
+	if !repathed && k.route.Gap > 0 && pause > k.route.Gap/slowDivisor {
 		k.Balancer.Slow(now, a.lease)
 	}
 }
 
-// streamed notes a stream that was passed on whole.
-func (k *call) streamed(a *attempt, gap time.Duration) {
+// recordCompletion records a stream that was delivered completely.
+func (k *call) recordCompletion(a *attempt, gap time.Duration) {
 	now := k.Now()
 	k.Balancer.Served(now, a.lease.First.ID, nil)
-	k.served()
-	k.sample(now, false)
+	k.recordSuccess()
+	k.sampleLatency(now, false)
 	k.Meter.Gap.Observe(gap.Seconds())
-	k.Log.Debug().Str("requestId", k.id).Str("route", k.route.Name).Dur("first", k.firstAfter).Dur("longestGap", gap).
-		Dur("whole", now-k.arrived).Int("runs", k.runs).Int32("moves", a.moves.Load()).Str("hops", FormatPath(k.Balancer.Path(a.lease))).
+	k.Log.Debug().Str("requestId", k.id).Str("route", k.route.Name).Dur("first", k.firstEventLatency).Dur("longestGap", gap).
+		Dur("whole", now-k.arrivedAt).Int("runs", k.runs).Int32("moves", a.repaths.Load()).Str("hops", FormatPath(k.Balancer.Path(a.lease))).
 		Msg("forwarder: stream answered")
 }
 
-// inOrder notes the ids of events to be passed on, and reports whether each
-// follows the one before.
-func (k *call) inOrder(l *balancer.Lease, ids []eventID) bool {
+// checkOrder reports whether each id follows the one before it, and advances lastEventID to the
+// last one that does.
+func (k *call) checkOrder(l *balancer.Lease, ids []eventID) bool {
 	for _, id := range ids {
-		if !id.follows(k.last) {
+		if !id.follows(k.lastEventID) {
 			k.Balancer.Failed(l.First.ID)
-			k.logAttempt(l, "event "+id.text+" after "+k.last.text, nil)
+			k.logAttempt(l, "event "+id.text+" does not follow event "+k.lastEventID.text, nil)
 			return false
 		}
-		k.last = id
+		k.lastEventID = id
 	}
 	return true
 }
 
-// head passes on the headers of the first run.
-func (k *call) head(resp *connector.Response) {
-	if k.answered {
+// writeHeader writes the status and the headers of the first attempt that delivers an event; later
+// calls do nothing.
+func (k *call) writeHeader(resp *connector.Response) {
+	if k.headerSent {
 		return
 	}
-	k.answered = true
+	k.headerSent = true
 	k.Headers.incoming(k.w.Header(), resp.Header)
 	k.w.WriteHeader(resp.StatusCode)
 }
 
-func (k *call) callerGone() verdict {
-	if !k.answered {
+// abortForCaller ends a request whose caller can't be written to. It aborts the handler when the
+// response has begun.
+func (k *call) abortForCaller() verdict {
+	if !k.headerSent {
 		return verdictAnswered
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func (k *call) brokeOff(ctx context.Context, l *balancer.Lease, err error) {
+// recordBreak records an interrupted stream as a failure of the upstream, unless the caller
+// disconnected or the attempt was canceled.
+func (k *call) recordBreak(ctx context.Context, l *balancer.Lease, err error) {
 	if k.r.Context().Err() != nil {
 		return
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	if !errors.Is(err, errMoved) && ctx.Err() == nil {
+	if !errors.Is(err, errUpstreamSilent) && ctx.Err() == nil {
 		k.Balancer.Failed(l.First.ID)
 	}
-	k.logAttempt(l, "stream broke off after event "+k.last.text, err)
+	k.logAttempt(l, "stream broke off after event "+k.lastEventID.text, err)
 }
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -10,64 +10,62 @@
 )
 
 const (
-	// watchPeriod is the time between two looks for silent upstreams.
-	watchPeriod = 20 * time.Millisecond
-	// askRest is how long an upstream that took a connection is not asked
-	// again.
-	askRest = 120 * time.Millisecond
-	// slowStart is how long a stream may wait for its first event before the
-	// upstreams of its path are asked: twice the usual.
-	slowStart = 250 * time.Millisecond
-	// askTimeout is how long an upstream has to take a connection.
-	askTimeout = 80 * time.Millisecond
-	// askAgain is the time between two rounds of questions to dead upstreams,
-	// askedAgain how many of each data centre are asked in one.
-	askAgain   = 400 * time.Millisecond
-	askedAgain = 4
-	// stuckStart and stuckGap are how long a stream may wait for its first and
-	// for a further event before its first upstream is asked what holds it up:
-	// some upstreams take connections and don't reach each other.
-	stuckStart = 400 * time.Millisecond
-	stuckGap   = 200 * time.Millisecond
-	// stallRest is the time between two such questions to one upstream: its
-	// answer is some hundred milliseconds old.
-	stallRest = 250 * time.Millisecond
-	// stallTimeout bounds one.
-	stallTimeout = 150 * time.Millisecond
-	// oversleep is how late a look may be; after a later one this host itself
-	// was held up, and silence says nothing of upstreams.
-	oversleep = 40 * time.Millisecond
-	// repathTimeout bounds one order to change a path.
+	// watchInterval is the time between two checks for silent upstreams.
+	watchInterval = 20 * time.Millisecond
+	// probeInterval is the time between two probes of one upstream.
+	probeInterval = 120 * time.Millisecond
+	// slowFirstEvent is how long a stream waits for its first event before the upstreams of its
+	// path are probed, and the time between two such probes: twice the usual time.
+	slowFirstEvent = 250 * time.Millisecond
+	// probeTimeout bounds the time for an upstream to accept a connection.
+	probeTimeout = 80 * time.Millisecond
+	// deadProbeInterval is the time between two rounds of probes of dead upstreams,
+	// deadProbesPerDataCentre the number of upstreams of each data centre in one round.
+	deadProbeInterval       = 400 * time.Millisecond
+	deadProbesPerDataCentre = 4
+	// stalledFirstEvent and stalledNextEvent are how long a stream waits for its first and for
+	// a further event before its first upstream is asked which upstream it waits for: some
+	// upstreams accept connections but can't reach each other.
+	stalledFirstEvent = 400 * time.Millisecond
+	stalledNextEvent  = 200 * time.Millisecond
+	// stallQueryInterval is the time between two such queries to one upstream, whose answer is
+	// some hundred milliseconds old.
+	stallQueryInterval = 250 * time.Millisecond
+	// stallQueryTimeout bounds one such query.
+	stallQueryTimeout = 150 * time.Millisecond
+	// maxTickDelay is how late a check may run. A later one means that this host itself was
+	// suspended or overloaded, and silence says nothing about upstreams.
+	maxTickDelay = 40 * time.Millisecond
+	// repathTimeout bounds one request to an engine to change a path.
 	repathTimeout = 150 * time.Millisecond
 )
 
-// Engines changes the path of running requests.
+// Engines controls requests that run on engines.
 type Engines interface {
-	// Repath orders the first upstream of a path to go on with a request over
-	// other hops. An error means that it did not, or may not have.
+	// Repath tells the first upstream of a path to continue a request over other hops. After an
+	// error the path may or may not have changed.
 	Repath(ctx context.Context, requestID string, hops []balancer.Hop) error
-	// Stalled asks an upstream which of the requests that it is the first to run
-	// wait for another one.
+	// Stalled asks an upstream which of the requests for which it is the first hop wait for
+	// another upstream.
 	Stalled(ctx context.Context, address string) ([]Stall, error)
 }
 
 // Stall is a request that waits for an upstream of its path.
 type Stall struct {
 	RequestID string
-	// Address is the upstream's.
+	// Address is the address of the upstream that it waits for.
 	Address string
 }
 
-// Watch looks for silent upstreams until ctx ends. One that does not take a
-// connection is out of use until it does, and every stream over it goes on
-// elsewhere. Otherwise each such stream would stand still until its engine gives
-// up waiting, which takes seconds.
+// Watch detects silent upstreams until ctx ends. An upstream that accepts no connection is not used
+// until it does, and the streams over it continue on other paths. Otherwise each of them would
+// stall until its engine gives up waiting, which takes seconds.
 func (f *Forwarder) Watch(ctx context.Context) {
-	tick := time.NewTicker(watchPeriod)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	before := f.Now()
-	var asked time.Duration
-	turn := 0
+	lastTick := f.Now()
+	var lastDeadProbe time.Duration
+	round := 0
 	for {
 		select {
 		case <-ctx.Done():
@@ -75,57 +73,57 @@
 		case <-tick.C:
 		}
 		now := f.Now()
-		late := now-before > watchPeriod+oversleep
-		before = now
+		late := now-lastTick > watchInterval+maxTickDelay
+		lastTick = now
 		if late {
 			continue
 		}
 		for _, h := range f.Balancer.Silent(now) {
-			f.ask(ctx, h, askRest)
+			f.probe(ctx, h, probeInterval)
 		}
-		for _, h := range f.slow(now) {
-			f.ask(ctx, h, slowStart)
+		for _, h := range f.slowStartHops(now) {
+			f.probe(ctx, h, slowFirstEvent)
 		}
-		for _, h := range f.stuck(now) {
-			f.askStalled(ctx, h)
+		for _, h := range f.stalledFirstHops(now) {
+			f.queryStalls(ctx, h)
 		}
-		if now-asked < askAgain {
+		if now-lastDeadProbe < deadProbeInterval {
 			continue
 		}
-		asked = now
-		for _, h := range f.Balancer.Dead(turn, askedAgain) {
-			f.ask(ctx, h, askRest)
+		lastDeadProbe = now
+		for _, h := range f.Balancer.Dead(round, deadProbesPerDataCentre) {
+			f.probe(ctx, h, probeInterval)
 		}
-		turn++
+		round++
 	}
 }
 
-// slow lists the upstreams that may hold up streams which wait for their first
-// event.
-func (f *Forwarder) slow(now time.Duration) []balancer.Hop {
+// slowStartHops lists the upstreams on the paths of streams whose first event is slow.
+func (f *Forwarder) slowStartHops(now time.Duration) []balancer.Hop {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []balancer.Hop
 	for a := range f.streams {
-		if !a.begun.Load() && now-a.began > slowStart {
-			out = append(out, f.Balancer.Stuck(a.lease, a.began)...)
+		if !a.begun.Load() && now-a.sentAt > slowFirstEvent {
+			out = append(out, f.Balancer.Stuck(a.lease, a.sentAt)...)
 		}
 	}
 	return out
 }
 
-// stuck lists the first upstreams of streams that wait too long.
-func (f *Forwarder) stuck(now time.Duration) []balancer.Hop {
+// stalledFirstHops lists the first upstreams of streams that wait too long for an event, each
+// once.
+func (f *Forwarder) stalledFirstHops(now time.Duration) []balancer.Hop {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen := make(map[string]bool)
 	var out []balancer.Hop
 	for a := range f.streams {
-		limit := stuckStart
+		maxWait := stalledFirstEvent
 		if a.begun.Load() {
-			limit = stuckGap
+			maxWait = stalledNextEvent
 		}
-		if now-time.Duration(a.last.Load()) < limit {
+		if now-time.Duration(a.lastEvent.Load()) < maxWait {
 			continue
 		}
 		if first := a.lease.First; !seen[first.ID] {
@@ -136,38 +134,37 @@
 	return out
 }
 
-// askStalled asks an upstream what its requests wait for, and moves the streams
-// over those that it names.
-func (f *Forwarder) askStalled(ctx context.Context, h balancer.Hop) {
+// queryStalls asks an upstream which upstreams its requests wait for, and reroutes the streams over
+// those.
+func (f *Forwarder) queryStalls(ctx context.Context, h balancer.Hop) {
 	if !f.beginProbe("stalled " + h.ID) {
 		return
 	}
 	if !f.Balancer.MayAsk(f.Now(), h.ID) {
-		go f.endProbe("stalled "+h.ID, stallRest)
+		go f.endProbe("stalled "+h.ID, stallQueryInterval)
 		return
 	}
 	go func() {
-		defer f.endProbe("stalled "+h.ID, stallRest)
-		ctx, cancel := context.WithTimeout(ctx, stallTimeout)
+		defer f.endProbe("stalled "+h.ID, stallQueryInterval)
+		ctx, cancel := context.WithTimeout(ctx, stallQueryTimeout)
 		defer cancel()
 		stalls, err := f.Engines.Stalled(ctx, h.Address)
 		if err != nil {
-			f.Log.Debug().Err(err).Str("upstream", h.ID).Msg("forwarder: stalled requests not learnt")
+			f.Log.Debug().Err(err).Str("upstream", h.ID).Msg("forwarder: query for stalled requests failed")
 			return
 		}
 		for _, s := range stalls {
-			f.stalledBy(ctx, s)
+			f.handleStall(ctx, s)
 		}
 	}()
 }
 
-// stalledBy draws what it tells that a request waits for an upstream. On a path
-// within one data centre that upstream is out of reach, and all streams over it
-// go on elsewhere. On a path over several the way between them may be cut, and
-// which upstream is named depends on the side that was asked; so only this
-// stream is moved, and the links count as slow as it has waited.
-func (f *Forwarder) stalledBy(ctx context.Context, s Stall) {
-	a := f.attempt(s.RequestID)
+// handleStall reacts to a request that waits for an upstream. On a path within one data centre that
+// upstream is unreachable, and all streams over it are rerouted. On a path across data centres the
+// link between them may be down, and which upstream is named depends on the side that was asked; so
+// only this stream is rerouted, and its wait counts as the latency of the links.
+func (f *Forwarder) handleStall(ctx context.Context, s Stall) {
+	a := f.findAttempt(s.RequestID)
 	id := f.Balancer.ByAddress(s.Address)
 	if a == nil || id == "" {
 		return
@@ -176,22 +173,22 @@
 	ctx = context.WithoutCancel(ctx)
 	if f.Balancer.Crosses(a.lease) {
 		now := f.Now()
-		f.Balancer.First(a.lease, now, now-time.Duration(a.last.Load()))
-		f.move(ctx, a, h)
+		f.Balancer.First(a.lease, now, now-time.Duration(a.lastEvent.Load()))
+		f.reroute(ctx, a, h)
 		return
 	}
 	if !f.Balancer.Out(f.Now(), id) {
 		return
 	}
-	moved := f.over(id)
-	f.Log.Warn().Str("upstream", id).Str("address", s.Address).Int("streams", len(moved)).Msg("forwarder: upstream out of reach of others")
+	moved := f.streamsThrough(id)
+	f.Log.Warn().Str("upstream", id).Str("address", s.Address).Int("streams", len(moved)).Msg("forwarder: upstream out of reach of other upstreams")
 	for _, a := range moved {
-		go f.move(ctx, a, h)
+		go f.reroute(ctx, a, h)
 	}
 }
 
-// attempt returns the stream of a request that is under way, or nil.
-func (f *Forwarder) attempt(requestID string) *attempt {
+// findAttempt returns the attempt under way for a request, or nil.
+func (f *Forwarder) findAttempt(requestID string) *attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for a := range f.streams {
@@ -202,7 +199,7 @@
 	return nil
 }
 
-// beginProbe reports whether a probe may start: one of each kind at a time.
+// beginProbe reports whether a probe may start: one of each name at a time.
 func (f *Forwarder) beginProbe(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,45 +213,47 @@
 	return true
 }
 
-// endProbe lets the next one start after rest.
-func (f *Forwarder) endProbe(name string, rest time.Duration) {
-	time.Sleep(rest)
+// endProbe waits for delay and then allows the next probe of that name.
+func (f *Forwarder) endProbe(name string, delay time.Duration) {
+	time.Sleep(delay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.probing, name)
 }
 
-// ask connects to an upstream once at a time, and not again before rest.
-func (f *Forwarder) ask(ctx context.Context, h balancer.Hop, rest time.Duration) {
+// probe checks in the background whether an upstream accepts connections. It does nothing while
+// another probe of that upstream runs, or ended less than interval ago.
+func (f *Forwarder) probe(ctx context.Context, h balancer.Hop, interval time.Duration) {
 	if !f.beginProbe(h.ID) {
 		return
 	}
 	go func() {
-		defer f.endProbe(h.ID, rest)
-		asked := f.Now()
-		err := f.connect(ctx, h.Address)
+		defer f.endProbe(h.ID, interval)
+		startedAt := f.Now()
+		err := f.checkDial(ctx, h.Address)
 		switch {
 		case ctx.Err() != nil:
 		case err == nil:
-			f.heard.Store(int64(f.Now()))
-			f.learn(ctx, h, nil)
-		case !isTimeout(err) || f.heard.Load() >= int64(asked):
-			f.learn(ctx, h, err)
+			f.lastContact.Store(int64(f.Now()))
+			f.recordProbe(ctx, h, nil)
+		case !isTimeout(err) || f.lastContact.Load() >= int64(startedAt):
+			f.recordProbe(ctx, h, err)
 		default:
-			// Nothing at all came since: this host's own link is full or cut.
-			f.Log.Debug().Err(err).Str("upstream", h.ID).Msg("forwarder: no answer, as from all others")
+			// No upstream was heard since the probe began, so this host's own link is full or down.
+			f.Log.Debug().Err(err).Str("upstream", h.ID).Msg("forwarder: no answer, nor from any other upstream")
 		}
 	}()
 }
 
-// isTimeout reports whether nobody answered, in contrast to a refusal.
+// isTimeout reports whether a dial got no answer, as opposed to a refused connection.
 func isTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.Is(err, context.DeadlineExceeded) || (errors.As(err, &t) && t.Timeout())
 }
 
-func (f *Forwarder) connect(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// checkDial opens a connection to address within probeTimeout and closes it.
+func (f *Forwarder) checkDial(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	dial := f.Pool.Dial
 	if dial == nil {
@@ -267,38 +266,38 @@
 	return c.Close()
 }
 
-// learn notes whether an upstream lives, and moves the streams over one that
-// does not. down is why it does not.
-func (f *Forwarder) learn(ctx context.Context, h balancer.Hop, down error) {
-	news := f.Balancer.SetDead(f.Now(), h.ID, down != nil)
-	if down != nil && !isTimeout(down) {
+// recordProbe records whether an upstream accepts connections, and reroutes the streams over one
+// that does not. dialErr is why it does not, or nil.
+func (f *Forwarder) recordProbe(ctx context.Context, h balancer.Hop, dialErr error) {
+	changed := f.Balancer.SetDead(f.Now(), h.ID, dialErr != nil)
+	if dialErr != nil && !isTimeout(dialErr) {
 		f.Balancer.Ended(h.ID)
 	}
-	if !news {
+	if !changed {
 		return
 	}
-	if down == nil {
-		f.Log.Info().Str("upstream", h.ID).Str("address", h.Address).Msg("forwarder: upstream back")
+	if dialErr == nil {
+		f.Log.Info().Str("upstream", h.ID).Str("address", h.Address).Msg("forwarder: upstream accepts connections again")
 		for _, other := range f.Balancer.DeadBeside(h.ID) {
-			f.ask(ctx, other, askRest)
+			f.probe(ctx, other, probeInterval)
 		}
 		return
 	}
 	for _, other := range f.Balancer.Suspects(f.Now(), h.ID) {
-		f.ask(ctx, other, askRest)
+		f.probe(ctx, other, probeInterval)
 	}
-	moved := f.over(h.ID)
+	moved := f.streamsThrough(h.ID)
 	f.Log.Warn().Str("upstream", h.ID).Str("address", h.Address).Int("streams", len(moved)).Msg("forwarder: silent upstream out")
 	for _, a := range moved {
-		if !isTimeout(down) && !a.begun.Load() {
-			f.strike(a.id, a.fingerprint, h)
+		if !isTimeout(dialErr) && !a.begun.Load() {
+			f.addStrike(a.id, a.fingerprint, h)
 		}
-		go f.move(ctx, a, h)
+		go f.reroute(ctx, a, h)
 	}
 }
 
-// over lists the streams whose path has an upstream.
-func (f *Forwarder) over(id string) []*attempt {
+// streamsThrough lists the streams whose path contains an upstream.
+func (f *Forwarder) streamsThrough(id string) []*attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*attempt
@@ -312,28 +311,28 @@
 	return out
 }
 
-// move has a stream go on over another path, without the upstreams of its path that
-// are lost. Without its first one it is resumed as a new request at once.
-func (f *Forwarder) move(ctx context.Context, a *attempt, lost balancer.Hop) {
+// reroute continues a stream over a path without its lost upstreams. A stream that lost its first
+// upstream is resumed as a new request at once.
+func (f *Forwarder) reroute(ctx context.Context, a *attempt, lost balancer.Hop) {
 	if a.lease.First.ID == lost.ID {
-		a.cancel(errMoved)
+		a.cancel(errUpstreamSilent)
 		return
 	}
-	if !a.moving.begin(lost) {
+	if !a.changes.begin(lost) {
 		return
 	}
 	for again := true; again; {
-		f.moveOnce(ctx, a, lost)
-		lost, again = a.moving.end(f.Balancer.Path(a.lease))
+		f.rerouteOnce(ctx, a, lost)
+		lost, again = a.changes.end(f.Balancer.Path(a.lease))
 	}
 }
 
-// moveOnce has the first upstream change the path: the others keep what they have read,
-// and no request is sent again. Where that would hold the stream up for too long, or
-// can't be done, it is resumed as a new request.
-func (f *Forwarder) moveOnce(ctx context.Context, a *attempt, lost balancer.Hop) {
-	if f.Balancer.Elsewhere(f.Now(), a.lease, lost.ID) && a.prepay() {
-		a.cancel(errMoved)
+// rerouteOnce asks the first upstream to change the path: the other upstreams keep the tokens that
+// they have processed, and the request is not sent again. The stream is resumed as a new request
+// where that would delay it too long or fails.
+func (f *Forwarder) rerouteOnce(ctx context.Context, a *attempt, lost balancer.Hop) {
+	if f.Balancer.Elsewhere(f.Now(), a.lease, lost.ID) && a.reserveRetry() {
+		a.cancel(errUpstreamSilent)
 		return
 	}
 	if hops := f.Balancer.Repath(f.Now(), a.lease, lost.ID); hops != nil {
@@ -342,11 +341,11 @@
 		err := f.Engines.Repath(ctx, a.id, hops)
 		f.Log.Info().Err(err).Str("requestId", a.id).Str("dead", lost.ID).Str("hops", FormatPath(hops)).Msg("forwarder: path changed")
 		if err == nil {
-			a.moves.Add(1)
+			a.repaths.Add(1)
 			return
 		}
 	}
-	a.cancel(errMoved)
+	a.cancel(errUpstreamSilent)
 }
 
 func (f *Forwarder) track(a *attempt) {
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -15,108 +15,110 @@
 	"github.com/sardineward/sardineward/connector"
 )
 
-// errMoved ends an attempt over an upstream that went silent.
-var errMoved = errors.New("forwarder: an upstream of the path is silent")
+// errUpstreamSilent cancels an attempt because an upstream of its path is silent.
+var errUpstreamSilent = errors.New("forwarder: an upstream of the path is silent")
 
 const (
-	// resumptions bounds how often one stream may be moved.
-	resumptions = 4
-	readSize    = 4 << 10
-	// resumeWait is how long a stream that broke off waits for a path: callers
-	// give a silent stream up after two seconds. resumePause is the time between
-	// two tries.
-	resumeWait  = 1500 * time.Millisecond
-	resumePause = 50 * time.Millisecond
+	// maxResumptions is how often one stream may be resumed as a new request.
+	maxResumptions = 4
+	readBufferSize = 4 << 10
+	// resumeTimeout is how long an interrupted stream waits for a path; callers abandon a stream
+	// that is silent for two seconds. resumeRetryInterval is the time between two tries.
+	resumeTimeout       = 1500 * time.Millisecond
+	resumeRetryInterval = 50 * time.Millisecond
 )
 
-// attempt is one run of a stream over a path.
+// attempt is one try to run a stream over a path.
 type attempt struct {
-	// id and fingerprint are the request's.
+	// id and fingerprint identify the request.
 	id          string
 	fingerprint uint64
 	lease       *balancer.Lease
 	// begun is set with the first event.
 	begun atomic.Bool
-	// last is when its last event came, or when it was sent.
-	last atomic.Int64
-	// moves counts changes of its path.
-	moves  atomic.Int32
-	moving moves
-	// began is when it was sent.
-	began  time.Duration
+	// lastEvent is when the last event arrived, or when the request was sent, as nanoseconds of
+	// Now.
+	lastEvent atomic.Int64
+	// repaths counts the changes of the path.
+	repaths atomic.Int32
+	changes pathChanges
+	// sentAt is when the request was sent.
+	sentAt time.Duration
 	cancel context.CancelCauseFunc
-	// spend takes a retry for going on as a new request; nil where the route
-	// allows no run beside this one. paid is set once it was taken.
-	spend func() bool
-	paid  atomic.Bool
+	// takeRetry takes a retry for resuming as a new request; nil where the route allows no
+	// further run. retryTaken is set once it was taken.
+	takeRetry  func() bool
+	retryTaken atomic.Bool
 }
 
-// prepay takes the retry that going on as a new request will need, or reports
-// that there is none.
-func (a *attempt) prepay() bool {
-	if !a.begun.Load() || a.spend == nil || !a.spend() {
+// reserveRetry takes the retry that resuming as a new request needs. It returns false when the
+// stream has not begun or there is no retry.
+func (a *attempt) reserveRetry() bool {
+	if !a.begun.Load() || a.takeRetry == nil || !a.takeRetry() {
 		return false
 	}
-	a.paid.Store(true)
+	a.retryTaken.Store(true)
 	return true
 }
 
-// stream answers a request by events as they come.
-func (k *call) stream(ctx context.Context) {
+// serveStream serves a streaming request, over further attempts where one is interrupted.
+func (k *call) serveStream(ctx context.Context) {
 	limit := k.Latency(k.service.Name)
 	if !limit.Enter() {
 		k.refuse(admitter.ReasonQueueFull, "first events come late")
 		return
 	}
 	defer limit.Leave()
-	k.last = parseEventID(k.r.Header.Get("Last-Event-Id"))
-	moves := 0
+	k.lastEventID = parseEventID(k.r.Header.Get("Last-Event-Id"))
+	resumptions := 0
 	for {
-		l := k.acquireOrCut(k.need())
+		l := k.acquireOrAbort(k.need())
 		if l == nil {
 			return
 		}
-		v, paid := k.runStream(ctx, l)
+		v, retryTaken := k.runStream(ctx, l)
 		k.Balancer.Release(l)
 		if v == verdictAnswered {
 			return
 		}
-		if !k.answered {
+		if !k.headerSent {
 			k.avoidFirst(l, v)
-			if !k.again(ctx, v) {
+			if !k.retryOrRefuse(ctx, v) {
 				return
 			}
 			continue
 		}
-		moves++
-		if ctx.Err() != nil || moves > resumptions || (!paid && !k.spendResume()) {
-			k.cut(moves)
+		resumptions++
+		if ctx.Err() != nil || resumptions > maxResumptions || (!retryTaken && !k.takeResumeRetry()) {
+			k.abortStream(resumptions)
 		}
 		k.Meter.Retries.WithLabelValues(verdictBroken.String()).Inc()
 	}
 }
 
-// spendResume takes a retry for a stream that has begun.
-func (k *call) spendResume() bool {
+// takeResumeRetry takes a retry to resume a stream that has begun, and reports whether there was
+// one.
+func (k *call) takeResumeRetry() bool {
 	return k.route.Resumable && k.Budget(k.service.Name).Spend(k.Now())
 }
 
-// avoidFirst keeps a request that got no event off the upstream that took it.
+// avoidFirst excludes the first upstream of an attempt that delivered no event from later attempts.
 func (k *call) avoidFirst(l *balancer.Lease, v verdict) {
 	if v != verdictNotRun {
 		k.avoid = append(k.avoid, l.First.ID)
 	}
 }
 
-// acquireOrCut is acquire, for a stream that may have begun.
-func (k *call) acquireOrCut(n balancer.Need) *balancer.Lease {
-	if !k.answered {
+// acquireOrAbort is acquire for a stream that may have begun: a begun one waits for a path up to
+// resumeTimeout and is aborted when there is none.
+func (k *call) acquireOrAbort(n balancer.Need) *balancer.Lease {
+	if !k.headerSent {
 		return k.acquire(n)
 	}
 	n.Service = k.service.Name
 	n.Begun = true
-	n.Firsts = k.firsts()
-	for until := k.Now() + resumeWait; ; {
+	n.Firsts = k.allowedFirsts()
+	for until := k.Now() + resumeTimeout; ; {
 		n.Avoid = k.avoid
 		l, _ := k.Balancer.Acquire(k.Now(), n)
 		if l == nil {
@@ -127,30 +129,29 @@
 			return l
 		}
 		if k.Now() > until || k.r.Context().Err() != nil {
-			k.cut(0)
+			k.abortStream(0)
 		}
-		time.Sleep(resumePause)
+		time.Sleep(resumeRetryInterval)
 	}
 }
 
-// cut closes a stream midway. Its body has no end, so that the caller can't
-// take it for whole.
-func (k *call) cut(moves int) {
+// abortStream ends a stream early. It closes the connection without ending the body, so that the
+// caller can't take the response for complete.
+func (k *call) abortStream(resumptions int) {
 	if k.r.Context().Err() == nil {
 		k.Meter.Refusals.WithLabelValues(admitter.ReasonUpstream.String()).Inc()
-		k.Log.Warn().Str("requestId", k.id).Str("lastEvent", k.last.text).Int("moves", moves).
+		k.Log.Warn().Str("requestId", k.id).Str("lastEvent", k.lastEventID.text).Int("moves", resumptions).
 			Dur("left", k.deadline-k.Now()).Msg("forwarder: stream cut")
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// firsts are the upstreams that may still run the request: nil for any, else
-// those that did and live, once they and the ones that are about to are as many
-// as its route allows. One that was lost does not count: it is no reason to
-// leave a caller without the rest.
-func (k *call) firsts(about ...string) []string {
+// allowedFirsts returns the upstreams that the request may be sent to; nil means any. The upstreams
+// that ran it and the candidates count against the route's MaxAttempts; once that is reached, only
+// they may run it. Lost upstreams don't count, so that their loss alone never ends a stream.
+func (k *call) allowedFirsts(candidates ...string) []string {
 	var out []string
-	for _, id := range slices.Concat(k.ran, about) {
+	for _, id := range slices.Concat(k.ranOn, candidates) {
 		if !slices.Contains(out, id) && !k.Balancer.Lost(id) {
 			out = append(out, id)
 		}
@@ -161,11 +162,10 @@
 	return out
 }
 
-// need is what the request asks for, with what it already got as a part of its
-// prompt.
+// need returns what to reserve for the request, from its token counts or the engine's averages.
 func (k *call) need() balancer.Need {
-	prompt, most := parseTokens(k.r.Header.Get(k.Headers.Tokens))
-	n := balancer.Need{Prompt: prompt, Answer: most, Target: k.route.Target}
+	prompt, maxTokens := parseTokens(k.r.Header.Get(k.Headers.Tokens))
+	n := balancer.Need{Prompt: prompt, Answer: maxTokens, Target: k.route.Target}
 	e := k.service.Engine
 	if e == nil {
 		return n
@@ -173,53 +173,53 @@
 	if prompt == 0 {
 		n.Prompt = e.Prompt
 	}
-	likely := parseNumber(k.r.Header.Get(k.Headers.Length))
-	if likely == 0 {
-		likely = e.Answer
+	expected := parseNumber(k.r.Header.Get(k.Headers.Length))
+	if expected == 0 {
+		expected = e.Answer
 	}
-	if most == 0 || likely < most {
-		n.Answer = likely
+	if maxTokens == 0 || expected < maxTokens {
+		n.Answer = expected
 	}
 	return n
 }
 
-// runStream sends the request over one path and passes its events on. paid tells
-// that the retry for going on elsewhere was taken already.
-func (k *call) runStream(ctx context.Context, l *balancer.Lease) (v verdict, paid bool) {
+// runStream makes one attempt over a leased path and relays its events. retryTaken reports that the
+// retry for the next attempt is taken already.
+func (k *call) runStream(ctx context.Context, l *balancer.Lease) (v verdict, retryTaken bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &attempt{id: k.id, fingerprint: k.fingerprint, lease: l, began: k.Now(), cancel: cancel}
-	if k.firsts(l.First.ID) == nil {
-		a.spend = k.spendResume
+	a := &attempt{id: k.id, fingerprint: k.fingerprint, lease: l, sentAt: k.Now(), cancel: cancel}
+	if k.allowedFirsts(l.First.ID) == nil {
+		a.takeRetry = k.takeResumeRetry
 	}
-	a.last.Store(int64(a.began))
+	a.lastEvent.Store(int64(a.sentAt))
 	k.track(a)
 	defer k.untrack(a)
-	defer k.watchFirst(a).Stop()
+	defer k.startFirstEventTimer(a).Stop()
 	v = k.sendStream(ctx, a)
 	if v != verdictNotRun {
-		k.ran = append(k.ran, l.First.ID)
+		k.ranOn = append(k.ranOn, l.First.ID)
 	}
-	return v, a.paid.Load()
+	return v, a.retryTaken.Load()
 }
 
-// sendStream is one run over a path.
+// sendStream sends the request of an attempt and relays the response.
 func (k *call) sendStream(ctx context.Context, a *attempt) verdict {
 	l := a.lease
-	req := k.request(l)
-	if k.last.text != "" {
-		req.Header.Set("Last-Event-Id", k.last.text)
+	req := k.upstreamRequest(l)
+	if k.lastEventID.text != "" {
+		req.Header.Set("Last-Event-Id", k.lastEventID.text)
 	}
 	resp, err := k.Pool.Do(ctx, req)
 	if err != nil {
-		k.inVain(a)
-		return k.unanswered(ctx, l, err)
+		k.recordNoFirstEvent(a)
+		return k.classifyError(ctx, l, err)
 	}
 	defer resp.Done()
-	k.offered = true
-	k.heardLimit(l, resp.Response, a.began)
+	k.sentOnce = true
+	k.observeLimit(l, resp.Response, a.sentAt)
 	if resp.StatusCode != http.StatusOK {
-		return k.refusedStream(a, resp)
+		return k.handleNonStream(a, resp)
 	}
 	if resp.Header.Get(k.Headers.Stamp) == "" || resp.Header.Get("Content-Encoding") != "" {
 		k.Balancer.Failed(l.First.ID)
@@ -228,48 +228,49 @@
 	}
 	v := k.relay(ctx, a, resp)
 	if !a.begun.Load() {
-		k.inVain(a)
+		k.recordNoFirstEvent(a)
 		if v == verdictBroken && ctx.Err() == nil {
-			k.checkCrash(ctx, l.First)
+			k.detectCrash(ctx, l.First)
 		}
 	}
 	return v
 }
 
-// sample tells the bound on streams whether this one is late; once.
-func (k *call) sample(now time.Duration, late bool) {
-	if k.sampled.CompareAndSwap(false, true) {
+// sampleLatency reports to the limit on streams whether this one is late. Only the first call
+// counts.
+func (k *call) sampleLatency(now time.Duration, late bool) {
+	if k.latencySampled.CompareAndSwap(false, true) {
 		k.Latency(k.service.Name).Sample(now, late)
 	}
 }
 
-// watchFirst counts a stream as late once its first event is: where engines are
-// overloaded most callers leave before it comes.
-func (k *call) watchFirst(a *attempt) *time.Timer {
+// startFirstEventTimer counts a stream as late as soon as its first event is late. When engines are
+// overloaded most callers disconnect before that event.
+func (k *call) startFirstEventTimer(a *attempt) *time.Timer {
 	target := k.route.Target
 	if target <= 0 {
 		target = defaultTimeout
 	}
 	return time.AfterFunc(target, func() {
-		if now := k.Now(); !a.begun.Load() && a.moves.Load() == 0 {
-			k.sample(now, true)
-			k.Balancer.First(a.lease, now, now-a.began)
+		if now := k.Now(); !a.begun.Load() && a.repaths.Load() == 0 {
+			k.sampleLatency(now, true)
+			k.Balancer.First(a.lease, now, now-a.sentAt)
 		}
 	})
 }
 
-// inVain notes a stream that ended before its first event.
-func (k *call) inVain(a *attempt) {
-	if now := k.Now(); a.moves.Load() == 0 && now-a.began > k.route.Target {
-		k.Balancer.First(a.lease, now, now-a.began)
+// recordNoFirstEvent records an attempt that ended late and without an event.
+func (k *call) recordNoFirstEvent(a *attempt) {
+	if now := k.Now(); a.repaths.Load() == 0 && now-a.sentAt > k.route.Target {
+		k.Balancer.First(a.lease, now, now-a.sentAt)
 	}
 }
 
-// refusedStream takes an answer that is no stream.
-func (k *call) refusedStream(a *attempt, resp *connector.Response) verdict {
+// handleNonStream handles a response with a status other than 200.
+func (k *call) handleNonStream(a *attempt, resp *connector.Response) verdict {
 	l := a.lease
-	body, err := io.ReadAll(io.LimitReader(resp, maxAnswer))
-	if v, ok := k.refusedBy(l, resp.Response, a.began); ok {
+	body, err := io.ReadAll(io.LimitReader(resp, maxAnswerBytes))
+	if v, ok := k.handleRejection(l, resp.Response, a.sentAt); ok {
 		return v
 	}
 	k.Balancer.Failed(l.First.ID)
@@ -277,8 +278,8 @@
 	if err != nil || !resp.Whole() {
 		return verdictMayHaveRun
 	}
-	if !k.answered && (resp.StatusCode < http.StatusInternalServerError || !k.route.Resumable || k.runs+1 >= k.route.MaxAttempts) {
-		k.pass(&answer{resp.Response, body})
+	if !k.headerSent && (resp.StatusCode < http.StatusInternalServerError || !k.route.Resumable || k.runs+1 >= k.route.MaxAttempts) {
+		k.writeAnswer(&answer{resp.Response, body})
 		return verdictAnswered
 	}
 	return verdictFailed
