--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,9 +1,9 @@
-// Package connector exchanges single HTTP/1.1 requests with upstreams over kept
-// connections, and says for each failure whether the request may have run.
+// Package connector sends HTTP/1.1 requests to upstreams over persistent connections, and
+// reports for each failure whether the request may have run.
 //
-// The standard transport sends a request again by itself when a kept connection
-// fails, which no retry budget sees and which may run a booking twice; this one
-// sends each request once. Parsing is the standard library's.
+// net/http's Transport resends a request by itself when a reused connection fails: no retry
+// budget counts that, and a booking may run twice. This package sends each request once.
+// Responses are parsed by the standard library.
 package connector
 
 import (
@@ -21,17 +21,17 @@
 	"time"
 )
 
-// Error is a failed exchange.
+// Error describes a request that got no response.
 type Error struct {
 	Address string
-	// Sent is set once any byte of the request was written: it may have run.
+	// Sent is set when any byte of the request was written, so that it may have run.
 	Sent bool
-	// Dial is set when no connection could be made.
+	// Dial is set when no connection could be opened.
 	Dial bool
 	Err  error
 }
 
-// Error says what failed where.
+// Error returns the message, with the address and the cause.
 func (e *Error) Error() string {
 	what := "exchange with "
 	if e.Dial {
@@ -40,64 +40,68 @@
 	return "connector: " + what + e.Address + ": " + e.Err.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// errForeign is an answer that belongs to another request.
-var errForeign = errors.New("answer to another request")
+// errWrongRequest means that a connection delivered only responses to other requests.
+var errWrongRequest = errors.New("response belongs to another request")
 
 const (
-	// dialTimeout is a hundred times a link's delay, and well under the time
-	// in which a caller expects its answer.
+	// dialTimeout bounds the time for opening a connection. It is a hundred times a link's
+	// delay, and well below the time in which a caller expects its response.
 	dialTimeout = 250 * time.Millisecond
-	// defaultIdle is how long a connection is kept whose upstream doesn't say.
-	defaultIdle = 4 * time.Second
-	// idleMargin is taken off the time that an upstream says, for the time that
-	// the next request is on its way.
+	// defaultKeepAlive is how long an idle connection is kept when the upstream announces no
+	// timeout.
+	defaultKeepAlive = 4 * time.Second
+	// idleMargin is subtracted from the timeout that an upstream announces, to allow for the
+	// time in which the next request is in transit.
 	idleMargin = time.Second
-	// cautious is how long a connection may have been idle that carries a
-	// request which can't be repeated.
-	cautious = 300 * time.Millisecond
-	// keptPerAddress bounds idle connections to one upstream: more than that
-	// are in use at once only in a burst.
-	keptPerAddress = 8
-	// foreignAnswers is how many answers to other requests are passed over on
-	// one connection.
-	foreignAnswers = 2
-	bufferSize     = 4 << 10
-	// inlineBody is the largest body that is written before the answer is
-	// awaited: it fits the smallest socket buffers.
-	inlineBody = 16 << 10
+	// maxIdleForOnce is how long a connection may have been idle to be reused for a request
+	// that can't be repeated.
+	maxIdleForOnce = 300 * time.Millisecond
+	// maxIdlePerAddress bounds the idle connections to one upstream; more are in use at once
+	// only in a burst.
+	maxIdlePerAddress = 8
+	// maxStaleResponses is how many responses to other requests are skipped on one connection.
+	maxStaleResponses = 2
+	// bufferSize is the size of a connection's read buffer, in bytes.
+	bufferSize = 4 << 10
+	// maxInlineBody is the size in bytes of the largest body that is written before the
+	// response is read; it fits the smallest socket buffers.
+	maxInlineBody = 16 << 10
 )
 
-// Pool keeps connections. The fields are set before use.
+// Pool sends requests and keeps idle connections for reuse. Its exported fields are set before
+// use; it is safe for concurrent use.
 type Pool struct {
-	// Dial makes a connection; nil means the network.
+	// Dial opens a connection; nil means net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Now is a clock that goes on while the machine is suspended.
+	// Now returns a monotonic time that advances while the machine is suspended.
 	Now func() time.Duration
-	// RequestID is the name of the header by which an answer names its request.
+	// RequestID is the name of the header that identifies a request; the response repeats it.
 	RequestID string
-	// Opened is called for each new connection; nil is none.
+	// Opened is called before each dial; nil means no call.
 	Opened func()
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
 }
 
+// conn is a connection with its read buffer.
 type conn struct {
 	net.Conn
 	address string
 	br      *bufio.Reader
-	// since is when it was put back, until when it may be used again.
-	since, until time.Duration
+	// idleSince is when the connection became idle, usableUntil when it may last be reused.
+	idleSince, usableUntil time.Duration
 }
 
-// Request is one request to an upstream.
+// Request is a request to one upstream.
 type Request struct {
 	Address string
 	Method  string
-	// Target is the path with its query, as it goes on the wire.
+	// Target is the path with its query, as it is sent.
 	Target string
 	Host   string
 	Header http.Header
@@ -106,20 +110,24 @@
 	Once bool
 }
 
-// Response is an answer whose body has to be read or closed.
+// Response is a response whose body is still to be read. Done must be called on each one.
 type Response struct {
 	*http.Response
-	pool   *Pool
-	conn   *conn
-	stop   func() bool
-	writes chan error
-	whole  bool
+	pool *Pool
+	conn *conn
+	// stop detaches the connection from the request's context; it returns false when the context
+	// has ended.
+	stop func() bool
+	// writeErr receives the result of writing the request.
+	writeErr chan error
+	// complete is set once the body was read to its end.
+	complete bool
 }
 
-// Do sends a request once and reads the head of its answer. Ending ctx closes
-// the connection. The error is an *Error.
+// Do sends a request once and reads the status and the headers of its response. The end of ctx
+// closes the connection. The error is always an *Error.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	c, err := p.take(ctx, r)
+	c, err := p.getConn(ctx, r)
 	if err != nil {
 		return nil, &Error{Address: r.Address, Dial: true, Err: err}
 	}
@@ -137,40 +145,42 @@
 	return resp, nil
 }
 
+// exchange writes a request and reads the head of its response. sent reports whether any byte was
+// written.
 func (p *Pool) exchange(c *conn, r *Request) (resp *Response, sent bool, err error) {
-	writes := make(chan error, 1)
+	writeErr := make(chan error, 1)
 	head := r.head()
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		n, err := c.Write(append(head, r.Body...))
 		if err != nil {
 			return nil, n > 0, err
 		}
-		writes <- nil
+		writeErr <- nil
 	} else {
 		go func() {
 			_, err := c.Write(append(head, r.Body...))
-			writes <- err
+			writeErr <- err
 		}()
 	}
 	want := r.Header.Get(p.RequestID)
-	for range foreignAnswers + 1 {
+	for range maxStaleResponses + 1 {
 		h, err := http.ReadResponse(c.br, &http.Request{Method: r.Method}) //nolint:bodyclose // Response.Done ends its use
 		if err != nil {
 			return nil, true, err
 		}
 		if got := h.Header.Get(p.RequestID); got == want || got == "" {
-			return &Response{Response: h, pool: p, conn: c, writes: writes}, true, nil
+			return &Response{Response: h, pool: p, conn: c, writeErr: writeErr}, true, nil
 		}
-		// An answer that came late to an earlier request stands first; the one
-		// to this request follows it.
+		// A late response to an earlier request comes first on the connection; the one to this
+		// request follows it.
 		if _, err := io.Copy(io.Discard, h.Body); err != nil || h.Close {
 			break
 		}
 	}
-	return nil, true, errForeign
+	return nil, true, errWrongRequest
 }
 
-// head renders the request line and headers.
+// head returns the request line and the headers as they are sent.
 func (r *Request) head() []byte {
 	var b strings.Builder
 	b.Grow(512 + len(r.Body))
@@ -187,58 +197,57 @@
 	return []byte(b.String())
 }
 
-// Read reads the body. A whole body frees the connection.
+// Read reads the body.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Done ends the use of the response: its connection is kept when the answer
-// was read whole and the upstream keeps it, and closed otherwise. It reports
-// whether the answer was read whole.
+// Done ends the use of the response. The connection is kept for reuse when the body was read to its
+// end and the upstream keeps it open, and is closed otherwise. It reports whether the body was read
+// to its end.
 func (r *Response) Done() bool {
-	live := r.stop()
-	if r.whole && live && !r.closes() && r.delimited() && r.written() {
-		r.pool.put(r.conn, r.Header)
+	ctxActive := r.stop()
+	if r.complete && ctxActive && !r.closesConn() && r.bodyDelimited() && r.requestSent() {
+		r.pool.putIdle(r.conn, r.Header)
 		return true
 	}
 	r.conn.Close()
-	return r.whole
+	return r.complete
 }
 
-// closes reports whether the upstream closes the connection after the answer.
-func (r *Response) closes() bool { return r.Response.Close } //nolint:staticcheck // Close alone is the method
+// closesConn reports whether the upstream closes the connection after the response.
+func (r *Response) closesConn() bool { return r.Response.Close } //nolint:staticcheck // Close alone is the method
 
-// delimited reports whether the answer's end is told by its framing. One that
-// ends with its connection leaves nothing to keep.
-func (r *Response) delimited() bool {
+// bodyDelimited reports whether framing marks the end of the body. A body that ends with its
+// connection leaves none to reuse.
+func (r *Response) bodyDelimited() bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// written reports whether the whole request was sent. An upstream may answer
-// before it has read a long body; what follows on the connection would be taken
-// for the rest of it.
-func (r *Response) written() bool {
+// requestSent reports whether the whole request was written. An upstream may respond before it has
+// read a long body; it would then read the next request on the connection as the rest of that body.
+func (r *Response) requestSent() bool {
 	select {
-	case err := <-r.writes:
+	case err := <-r.writeErr:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// take returns a kept connection, or a new one.
-func (p *Pool) take(ctx context.Context, r *Request) (*conn, error) {
+// getConn returns an idle connection that may be reused, or opens a new one.
+func (p *Pool) getConn(ctx context.Context, r *Request) (*conn, error) {
 	for {
-		c := p.pop(r.Address)
+		c := p.popIdle(r.Address)
 		if c == nil {
 			break
 		}
 		now := p.Now()
-		if c.until > now && (!r.Once || now-c.since < cautious) && quiet(c) {
+		if c.usableUntil > now && (!r.Once || now-c.idleSince < maxIdleForOnce) && isIdle(c) {
 			return c, nil
 		}
 		c.Close()
@@ -246,20 +255,21 @@
 	if p.Opened != nil {
 		p.Opened()
 	}
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	dial := p.Dial
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
-	nc, err := dial(dialing, "tcp", r.Address)
+	nc, err := dial(dialCtx, "tcp", r.Address)
 	if err != nil {
 		return nil, err
 	}
 	return &conn{Conn: nc, address: r.Address, br: bufio.NewReaderSize(nc, bufferSize)}, nil
 }
 
-func (p *Pool) pop(address string) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -271,23 +281,24 @@
 	return c
 }
 
-func (p *Pool) put(c *conn, h http.Header) {
+// putIdle keeps a connection for reuse, or closes it when there are enough or it has unread data.
+func (p *Pool) putIdle(c *conn, h http.Header) {
 	now := p.Now()
-	c.since = now
-	c.until = now + keepAlive(h)
+	c.idleSince = now
+	c.usableUntil = now + keepAliveTimeout(h)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
 		p.idle = make(map[string][]*conn)
 	}
-	if len(p.idle[c.address]) >= keptPerAddress || c.br.Buffered() > 0 {
+	if len(p.idle[c.address]) >= maxIdlePerAddress || c.br.Buffered() > 0 {
 		c.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections that may no longer be used.
+// Sweep closes the idle connections that may no longer be reused.
 func (p *Pool) Sweep() {
 	now := p.Now()
 	p.mu.Lock()
@@ -295,7 +306,7 @@
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if c.until > now {
+			if c.usableUntil > now {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -321,8 +332,9 @@
 	p.idle = nil
 }
 
-// keepAlive is how long an upstream keeps an idle connection, less a margin.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns how long an idle connection may be kept: the timeout in the upstream's
+// Keep-Alive header less idleMargin, or defaultKeepAlive.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
@@ -332,12 +344,12 @@
 			return max(0, time.Duration(n)*time.Second-idleMargin)
 		}
 	}
-	return defaultIdle
+	return defaultKeepAlive
 }
 
-// quiet reports whether a kept connection is open and has nothing to read.
-// What an upstream sent after its answer belongs to no request.
-func quiet(c *conn) bool {
+// isIdle reports whether a connection is open and has nothing to read. Data that an upstream sends
+// after its response belongs to no request.
+func isIdle(c *conn) bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -360,4 +372,4 @@
 }
 
 // Whole reports whether the body was read to its end.
-func (r *Response) Whole() bool { return r.whole }
+func (r *Response) Whole() bool { return r.complete }
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -22,8 +22,8 @@
 
 const address = "10.0.0.1:80"
 
-// run answers each connection by a script and makes requests, in virtual time.
-func run(t *testing.T, script func(n int, c net.Conn, br *bufio.Reader), f func(p *connector.Pool, opened *int)) {
+// runScript serves the n-th connection with script(n) and runs f with a pool, in virtual time.
+func runScript(t *testing.T, script func(n int, c net.Conn, br *bufio.Reader), f func(p *connector.Pool, opened *int)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		n := faker.NewNetwork()
@@ -55,8 +55,8 @@
 	})
 }
 
-// answer reads a request and writes an answer to it.
-func answer(c net.Conn, br *bufio.Reader, id, header, body string) bool {
+// respond reads a request and writes a response to it, with the request's id if id is empty.
+func respond(c net.Conn, br *bufio.Reader, id, header, body string) bool {
 	r, err := http.ReadRequest(br)
 	if err != nil {
 		return false
@@ -71,9 +71,9 @@
 	return err == nil
 }
 
-func length(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
+func contentLength(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
 
-func do(p *connector.Pool, id string, once bool) (string, error) {
+func doRequest(p *connector.Pool, id string, once bool) (string, error) {
 	resp, err := p.Do(context.Background(), &connector.Request{
 		Address: address, Method: http.MethodPost, Target: "/a?b=c", Host: "x", Header: http.Header{"Id": {id}}, Body: []byte("body"), Once: once,
 	})
@@ -95,36 +95,35 @@
 	is.Equal(e.Sent, sent)
 }
 
-func TestKept(t *testing.T) {
-	run(t, func(_ int, c net.Conn, br *bufio.Reader) {
-		for answer(c, br, "", length("ok")+"Keep-Alive: timeout=3\r\n", "ok") {
+func TestConnectionReuse(t *testing.T) {
+	runScript(t, func(_ int, c net.Conn, br *bufio.Reader) {
+		for respond(c, br, "", contentLength("ok")+"Keep-Alive: timeout=3\r\n", "ok") {
 		}
 	}, func(p *connector.Pool, opened *int) {
 		is := is.New(t)
 		for n := range 3 {
-			body, err := do(p, fmt.Sprint(n), false)
+			body, err := doRequest(p, fmt.Sprint(n), false)
 			is.NoErr(err)
 			is.Equal(body, "ok")
 		}
 		is.Equal(*opened, 1)
-		time.Sleep(2500 * time.Millisecond) // nearly as long as the upstream keeps it
-		_, err := do(p, "late", false)
+		time.Sleep(2500 * time.Millisecond) // nearly the upstream's keep-alive timeout of 3 s
+		_, err := doRequest(p, "late", false)
 		is.NoErr(err)
 		is.Equal(*opened, 2)
 		time.Sleep(time.Second)
-		_, err = do(p, "booking", true) // may not be lost on a connection that is about to close
+		_, err = doRequest(p, "booking", true) // must not be lost on a connection that is about to close
 		is.NoErr(err)
 		is.Equal(*opened, 3)
 	})
 }
 
-// TestNeverTwice. An upstream takes a booking on a kept connection and breaks it.
-// The standard client sends such a request again by itself; this one says that
-// it may have run.
-func TestNeverTwice(t *testing.T) {
+// TestNoResend guards against resending a request when a reused connection breaks, as the standard
+// client does: a booking that may have run must be reported as such and not run twice.
+func TestNoResend(t *testing.T) {
 	got := 0
-	run(t, func(_ int, c net.Conn, br *bufio.Reader) {
-		if answer(c, br, "", length("ok"), "ok") {
+	runScript(t, func(_ int, c net.Conn, br *bufio.Reader) {
+		if respond(c, br, "", contentLength("ok"), "ok") {
 			if r, err := http.ReadRequest(br); err == nil {
 				_, _ = io.Copy(io.Discard, r.Body)
 				got++
@@ -132,67 +131,67 @@
 		}
 	}, func(p *connector.Pool, _ *int) {
 		is := is.New(t)
-		_, err := do(p, "first", false)
+		_, err := doRequest(p, "first", false)
 		is.NoErr(err)
-		_, err = do(p, "second", true)
+		_, err = doRequest(p, "second", true)
 		assertSent(t, err, true)
 		is.Equal(got, 1)
 	})
 }
 
-func TestNobodyListens(t *testing.T) {
-	run(t, func(int, net.Conn, *bufio.Reader) {}, func(p *connector.Pool, _ *int) {
+func TestDialFailureNotSent(t *testing.T) {
+	runScript(t, func(int, net.Conn, *bufio.Reader) {}, func(p *connector.Pool, _ *int) {
 		_, err := p.Do(context.Background(), &connector.Request{Address: "10.0.0.9:80", Method: http.MethodGet, Target: "/"})
 		assertSent(t, err, false)
 	})
 }
 
-// TestForeign. A late answer to an earlier request stands first on a kept
-// connection.
-func TestForeign(t *testing.T) {
-	run(t, func(_ int, c net.Conn, br *bufio.Reader) {
+// TestStaleResponse guards against returning a late response to an earlier request, which comes
+// first on a connection.
+func TestStaleResponse(t *testing.T) {
+	runScript(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		late := "late"
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: other\r\n%s\r\n%s", length(late), late)
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s\r\nmine", r.Header.Get("Id"), length("mine"))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: other\r\n%s\r\n%s", contentLength(late), late)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s\r\nmine", r.Header.Get("Id"), contentLength("mine"))
 	}, func(p *connector.Pool, _ *int) {
-		body, err := do(p, "this", true)
+		body, err := doRequest(p, "this", true)
 		is.New(t).NoErr(err)
 		is.New(t).Equal(body, "mine")
 	})
 }
 
-func TestNotWhole(t *testing.T) {
+func TestIncompleteResponse(t *testing.T) {
 	for name, header := range map[string]string{
 		"shorter than its length": "Content-Length: 100\r\n",
 		"chunks without an end":   "Transfer-Encoding: chunked\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(_ int, c net.Conn, br *bufio.Reader) { answer(c, br, "", header, "4\r\npart\r\n") }, func(p *connector.Pool, _ *int) {
-				_, err := do(p, "a", false)
+			runScript(t, func(_ int, c net.Conn, br *bufio.Reader) { respond(c, br, "", header, "4\r\npart\r\n") }, func(p *connector.Pool, _ *int) {
+				_, err := doRequest(p, "a", false)
 				is.New(t).True(err != nil)
 			})
 		})
 	}
-	t.Run("no length ends with its connection", func(t *testing.T) {
-		run(t, func(_ int, c net.Conn, br *bufio.Reader) { answer(c, br, "", "", "all") }, func(p *connector.Pool, _ *int) {
-			body, err := do(p, "a", false)
+	t.Run("body without a length ends with its connection", func(t *testing.T) {
+		runScript(t, func(_ int, c net.Conn, br *bufio.Reader) { respond(c, br, "", "", "all") }, func(p *connector.Pool, _ *int) {
+			body, err := doRequest(p, "a", false)
 			is.New(t).NoErr(err)
 			is.New(t).Equal(body, "all")
 		})
 	})
 }
 
-// TestEarlyAnswer. An upstream answers before it has read a long body and reads
-// on later. Another request on that connection would be taken for the rest.
-func TestEarlyAnswer(t *testing.T) {
-	run(t, func(_ int, c net.Conn, br *bufio.Reader) {
+// TestEarlyResponse guards against reusing a connection whose upstream responded before it read the
+// whole body, and would read the next request as the rest of that body.
+func TestEarlyResponse(t *testing.T) {
+	runScript(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		if r, err := http.ReadRequest(br); err == nil {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s\r\nno", r.Header.Get("Id"), length("no"))
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s\r\nno", r.Header.Get("Id"), contentLength("no"))
 			time.Sleep(time.Second)
 			_, _ = io.Copy(io.Discard, r.Body)
 		}
