--- a/streamer/client.go
+++ b/streamer/client.go
@@ -15,30 +15,30 @@
 	"github.com/sardineward/sardineward/checker"
 )
 
-// maxFrame bounds one frame's bytes.
-const maxFrame = 1 << 20
+// maxFrameBytes bounds the size of one encoded frame.
+const maxFrameBytes = 1 << 20
 
-// ErrNotSent means that no byte of a request reached an upstream.
-var ErrNotSent = errors.New("streamer: not sent")
+// ErrNotSent means that no byte of the request reached an upstream.
+var ErrNotSent = errors.New("streamer: request not sent")
 
 // Frames is the stream of one attempt.
 type Frames interface {
-	// Next returns io.EOF, or io.ErrUnexpectedEOF when the stream broke.
-	// The frame is valid until the following call.
+	// Next returns the next frame, which is valid until the following call. The error is io.EOF
+	// at the end of the stream and io.ErrUnexpectedEOF when the stream was cut within a frame.
 	Next() (*Frame, error)
-	// Buffered reports whether Next would return at once.
+	// Buffered reports whether Next would return without waiting.
 	Buffered() bool
-	// Close cancels what still runs.
+	// Close ends the stream and cancels the attempt if it still runs.
 	Close() error
 }
 
-// Engine is the seam to engines. Generate wraps ErrNotSent when the request
-// certainly did not start; it may return an *EngineError.
+// Engine starts attempts on engines. The error of Generate wraps ErrNotSent when the request
+// certainly did not start; it may be an *EngineError.
 type Engine interface {
 	Generate(ctx context.Context, address string, g *Generate) (Frames, error)
 }
 
-// Client speaks to engines in JSON, one frame a line, over HTTP.
+// Client is an Engine that talks to engines over HTTP; the response is one JSON frame a line.
 type Client struct {
 	HTTP *http.Client
 }
@@ -70,16 +70,17 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, refused(ctx, resp)
+		return nil, decodeRefusal(ctx, resp)
 	}
 	return &lineFrames{body: resp.Body, r: bufio.NewReaderSize(resp.Body, 4096)}, nil
 }
 
-func refused(ctx context.Context, resp *http.Response) error {
+// decodeRefusal returns the EngineError in a response with a status other than 200.
+func decodeRefusal(ctx context.Context, resp *http.Response) error {
 	defer resp.Body.Close()
 	e := new(EngineError)
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxFrame)).Decode(e); err != nil {
-		return fmt.Errorf("engine answered status %d", resp.StatusCode)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxFrameBytes)).Decode(e); err != nil {
+		return fmt.Errorf("engine responded with status %d and no valid error", resp.StatusCode)
 	}
 	if e.NotRun {
 		checker.Declined(ctx)
@@ -87,38 +88,43 @@
 	return e
 }
 
+// lineFrames reads one JSON frame a line.
 type lineFrames struct {
 	body io.ReadCloser
 	r    *bufio.Reader
-	long []byte
-	f    Frame
+	// overflow holds a line that is longer than the buffer of r.
+	overflow []byte
+	// frame is the one that Next returned last.
+	frame Frame
 }
 
 func (l *lineFrames) Next() (*Frame, error) {
-	line, err := l.line()
+	line, err := l.readLine()
 	if err != nil {
 		return nil, err
 	}
-	if err := DecodeFrame(line, &l.f); err != nil {
+	if err := DecodeFrame(line, &l.frame); err != nil {
 		return nil, err
 	}
-	return &l.f, nil
+	return &l.frame, nil
 }
 
-func (l *lineFrames) line() ([]byte, error) {
+// readLine returns the next line, which is valid until the following call, or an error when it
+// exceeds maxFrameBytes or the stream ends within it.
+func (l *lineFrames) readLine() ([]byte, error) {
 	line, err := l.r.ReadSlice('\n')
 	if err == nil {
 		return line, nil
 	}
-	l.long = append(l.long[:0], line...)
-	for errors.Is(err, bufio.ErrBufferFull) && len(l.long) < maxFrame {
+	l.overflow = append(l.overflow[:0], line...)
+	for errors.Is(err, bufio.ErrBufferFull) && len(l.overflow) < maxFrameBytes {
 		line, err = l.r.ReadSlice('\n')
-		l.long = append(l.long, line...)
+		l.overflow = append(l.overflow, line...)
 	}
 	if err == nil {
-		return l.long, nil
+		return l.overflow, nil
 	}
-	if errors.Is(err, io.EOF) && len(l.long) > 0 {
+	if errors.Is(err, io.EOF) && len(l.overflow) > 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return nil, err
@@ -129,25 +135,24 @@
 	if n == 0 {
 		return false
 	}
-	have, _ := l.r.Peek(n)
-	return bytes.IndexByte(have, '\n') >= 0
+	buffered, _ := l.r.Peek(n)
+	return bytes.IndexByte(buffered, '\n') >= 0
 }
 
 func (l *lineFrames) Close() error { return l.body.Close() }
 
-// DecodeFrame decodes one frame into f, whose slices are used again, and
-// checks it.
+// DecodeFrame decodes one frame into f, whose slices it reuses, and validates it.
 func DecodeFrame(line []byte, f *Frame) error {
 	*f = Frame{Spans: f.Spans[:0], Loads: f.Loads[:0]}
 	if err := json.Unmarshal(line, f); err != nil {
 		return fmt.Errorf("decoding frame: %w", err)
 	}
 	if f.Index < 0 || f.Attempt < 1 {
-		return fmt.Errorf("decoding frame: index %d of attempt %d", f.Index, f.Attempt)
+		return fmt.Errorf("decoding frame: index %d (want >= 0) or attempt %d (want >= 1)", f.Index, f.Attempt)
 	}
 	for _, s := range f.Spans {
 		if s.First < 0 || s.Last < s.First {
-			return fmt.Errorf("decoding frame: span %d to %d", s.First, s.Last)
+			return fmt.Errorf("decoding frame: span from layer %d to %d is not a range", s.First, s.Last)
 		}
 	}
 	return nil
--- a/streamer/messages.go
+++ b/streamer/messages.go
@@ -7,39 +7,39 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// Span is the layers an upstream ran, or is to run, both included.
+// Span is the range of layers that an upstream ran or is to run, from First to Last inclusive.
 type Span struct {
 	Upstream string `json:"upstream"`
 	First    int    `json:"first"`
 	Last     int    `json:"last"`
 }
 
-// Stage is a span and where its upstream is.
+// Stage is a span with the address of its upstream.
 type Stage struct {
 	Span
 	Address string `json:"address"`
 }
 
-// Generate asks the engine of the first stage for a stream of frames. It names
-// model, version and layers, so that a wrongly loaded engine refuses.
+// Generate is the request to the engine of the first stage for a stream of frames. It names
+// the model, the version and the layers, so that an engine which holds others refuses it.
 type Generate struct {
 	RequestID string `json:"requestId"`
-	// Attempt counts from 1; frames of another attempt are dropped.
+	// Attempt counts the job's attempts from 1; frames of another attempt are dropped.
 	Attempt   int    `json:"attempt"`
 	Model     string `json:"model"`
 	Version   string `json:"version"`
 	Workspace string `json:"workspace"`
 	Priority  int    `json:"priority"`
 	Prompt    string `json:"prompt"`
-	// Delivered are the tokens that the caller has; the first frame is the one
-	// after them.
+	// Delivered holds the tokens that the caller already has; the first frame continues after
+	// them.
 	Delivered []string `json:"delivered,omitempty"`
 	MaxTokens int      `json:"maxTokens"`
-	// Route is all stages, the first one included.
+	// Route holds all stages in order, including the first.
 	Route []Stage `json:"route"`
 }
 
-// Check reports what makes the message unusable.
+// Check returns an error that names the first invalid field, or nil.
 func (g *Generate) Check() error {
 	switch {
 	case g.RequestID == "":
@@ -54,23 +54,23 @@
 	return nil
 }
 
-// Frame is one token, or the error that ends an attempt.
+// Frame carries one token, or the error that ends an attempt.
 type Frame struct {
 	RequestID string `json:"requestId"`
 	Attempt   int    `json:"attempt"`
-	// Index counts from 0 over all attempts.
+	// Index is the token's position in the answer, from 0 and over all attempts.
 	Index int    `json:"index"`
 	Text  string `json:"text"`
-	// Spans are the layers that ran for this token, in order.
+	// Spans holds the layers that ran for this token, in order.
 	Spans []Span `json:"spans,omitempty"`
 	// Finish is set on the last frame: "stop" or "length".
 	Finish string       `json:"finish,omitempty"`
 	Error  *EngineError `json:"error,omitempty"`
-	// Loads are reports of stages, now and then.
+	// Loads holds load reports of stages; most frames have none.
 	Loads []StageLoad `json:"loads,omitempty"`
 }
 
-// StageLoad is a stage's report, handed on by the first stage.
+// StageLoad is the load report of a stage, forwarded by the first stage.
 type StageLoad struct {
 	Upstream string       `json:"upstream"`
 	Load     tracker.Load `json:"load"`
@@ -78,31 +78,31 @@
 
 // Kinds of EngineError.
 const (
-	// KindDown: a stage broke off while it had the request.
+	// KindDown: the connection to a stage broke while it had the request.
 	KindDown = "down"
-	// KindUnreachable: a stage can't be reached; it never had the request.
+	// KindUnreachable: a stage can't be reached and never received the request.
 	KindUnreachable = "unreachable"
-	// KindLeaving: a stage takes no new work.
+	// KindLeaving: a stage is draining and accepts no new requests.
 	KindLeaving = "leaving"
-	// KindNotLoaded: a stage doesn't hold the model, version or layers.
+	// KindNotLoaded: a stage has not loaded the model, the version or the layers.
 	KindNotLoaded = "notLoaded"
-	// KindBusy: a stage has no room.
+	// KindBusy: a stage has no capacity left.
 	KindBusy = "busy"
-	// KindInvalid: the request itself is wrong; another engine won't help.
+	// KindInvalid: the request itself is invalid, so that another engine would refuse it too.
 	KindInvalid = "invalid"
 )
 
-// EngineError is why an engine gave up.
+// EngineError is the reason for which an engine refused a request or ended an attempt.
 type EngineError struct {
 	Kind string `json:"kind"`
-	// Upstream is the stage it speaks of; empty means the first.
+	// Upstream is the stage that the error concerns; empty means the first.
 	Upstream string `json:"upstream,omitempty"`
-	// NotRun holds when no layer ran for the request.
+	// NotRun is set when no layer ran for the request.
 	NotRun bool   `json:"notRun,omitempty"`
 	Text   string `json:"text,omitempty"`
 }
 
-// Error gives kind, stage and text.
+// Error returns the stage, the kind and the text.
 func (e *EngineError) Error() string {
 	return fmt.Sprintf("engine %s: %s: %s", e.Upstream, e.Kind, e.Text)
 }
--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -1,10 +1,10 @@
-// Package streamer relays a generation from engines to a caller, and moves it
-// to another route when a stage dies, stalls or leaves.
+// Package streamer relays generated tokens from engines to a caller, and continues on another
+// route when a stage fails, stalls or drains.
 //
-// Every frame carries request, attempt, index and the layers that ran. The
-// streamer delivers a frame only of the attempt now open, at the index now
-// expected, whose layers are the ones asked for. A new attempt is given the
-// tokens already delivered, so the caller never gets one twice.
+// Every frame carries the request, the attempt, the index and the layers that ran. The streamer
+// delivers a frame only if it belongs to the current attempt, has the next index and ran exactly
+// the requested layers. A new attempt is given the tokens already delivered, so that the caller
+// never gets one twice.
 package streamer
 
 import (
@@ -21,193 +21,200 @@
 
 //go:generate enumer -type Cause -trimprefix Cause -transform title-lower -output cause_gen.go
 
-// Cause is why an attempt ended without a whole answer.
+// Cause is why an attempt ended before the answer was complete.
 type Cause int
 
-// The causes, each the label of a counter.
+// The causes. Their texts are values of a metric's label.
 const (
-	// CauseNone is no failure.
+	// CauseNone: no failure.
 	CauseNone Cause = iota
 	// CauseConnect: the first stage could not be reached; nothing was sent.
 	CauseConnect
-	// CauseBroken: the stream broke off.
+	// CauseBroken: the stream was interrupted.
 	CauseBroken
 	// CauseStage: the first stage reported another one down.
 	CauseStage
-	// CauseStall: no frame came for much longer than expected.
+	// CauseStall: no frame arrived for much longer than expected.
 	CauseStall
-	// CauseLeaving: a stage takes no new work.
+	// CauseLeaving: a stage is draining and accepts no new requests.
 	CauseLeaving
-	// CauseNotLoaded: a stage holds another model, version or layers.
+	// CauseNotLoaded: a stage has loaded another model, version or range of layers.
 	CauseNotLoaded
-	// CauseBusy: a stage has no room.
+	// CauseBusy: a stage has no capacity left.
 	CauseBusy
-	// CauseLayers: a frame's layers were not the ones asked for.
+	// CauseLayers: a frame's layers were not the requested ones.
 	CauseLayers
-	// CauseGap: a frame was missing.
+	// CauseGap: a frame is missing.
 	CauseGap
-	// CauseInvalid: the engine can't take the request at all.
+	// CauseInvalid: the engine refuses the request as invalid.
 	CauseInvalid
-	// CauseCaller: the caller went away or can't be written to.
+	// CauseCaller: the caller disconnected or can't be written to.
 	CauseCaller
-	// CauseDeadline: the request's time is over.
+	// CauseDeadline: the request's deadline passed.
 	CauseDeadline
 )
 
-// Job is one generation.
+// Job is one request to generate an answer.
 type Job struct {
 	ID       string
 	Pipeline string
 	Model    string
 	Version  string
-	// Layers is how many the model has.
+	// Layers is the number of layers of the model.
 	Layers    int
 	Workspace string
 	Priority  int
 	Prompt    string
 	MaxTokens int
 	Deadline  time.Time
-	// Fingerprint is equal for equal requests of a workspace.
+	// Fingerprint is a hash that is equal for equal requests of a workspace.
 	Fingerprint uint64
-	// Prefix is equal for prompts that start alike.
+	// Prefix is a hash that is equal for prompts with the same beginning.
 	Prefix uint64
-	// Avoid are upstreams that failed it; the Router keeps it.
+	// Avoid lists the upstreams that failed this job; the Router maintains it.
 	Avoid []string
-	// Soft lets Avoid be passed over when nothing else has room.
+	// Soft allows upstreams in Avoid when no other one has capacity.
 	Soft bool
 }
 
-// Failure is how one attempt ended.
+// Failure describes why one attempt failed.
 type Failure struct {
 	Cause   Cause
 	Attempt int
-	// Upstream is the stage to blame; empty when any of them may be.
+	// Upstream is the stage that caused the failure; empty when it is not known which.
 	Upstream string
 	Stages   []Stage
-	// Started is false when no upstream was sent any byte in this attempt.
+	// Started is false when certainly no upstream ran the request in this attempt.
 	Started bool
 }
 
-// Router gives routes to attempts and learns what became of them.
+// Router chooses the routes of attempts and records their results.
 type Router interface {
-	// Route returns the stages of an attempt and the expected time between
-	// tokens. Its error ends the job.
+	// Route returns the stages for an attempt and the expected time between two tokens. An error
+	// ends the job.
 	Route(ctx context.Context, job *Job, attempt int) (stages []Stage, gap time.Duration, err error)
-	// Release ends a route; failure is nil after a whole answer.
+	// Release frees a route; failure is nil after a complete answer.
 	Release(job *Job, stages []Stage, failure *Failure)
-	// Retry returns nil when the job may be tried again after the failure.
+	// Retry returns nil when another attempt is allowed after the failure. An error ends the
+	// job.
 	Retry(job *Job, failure *Failure) error
-	// Doubt asks the stages of a silent route whether they live, and returns
-	// one that doesn't answer; empty means that all do.
+	// Doubt probes the stages of a silent route and returns one that does not respond; empty
+	// means that all do.
 	Doubt(ctx context.Context, stages []Stage) string
-	// Gap takes in the time between two tokens of a stream.
+	// Gap records the time between two tokens of a stream.
 	Gap(job *Job, now time.Time, d time.Duration)
-	// Report takes in an upstream's load.
+	// Report records an upstream's load.
 	Report(upstream string, load tracker.Load)
 }
 
-// Result is how a job ended.
+// Result describes how a job ended.
 type Result struct {
-	// Tokens is how many the caller got.
+	// Tokens is the number of tokens that the caller got.
 	Tokens int
-	// Finish is empty unless the answer is whole.
+	// Finish is the last frame's Finish; empty unless the answer is complete.
 	Finish   string
 	Attempts int
-	// Started holds when any upstream was sent any byte.
+	// Started is false when certainly no upstream ran the request in any attempt.
 	Started bool
-	// Last is the failure that ended the job; nil after a whole answer.
+	// Last is the failure of the last attempt; nil after a complete answer.
 	Last *Failure
 }
 
-// Streamer is safe for concurrent use. The fields are set before the first Run.
+// Streamer runs jobs. It is safe for concurrent use; the fields up to StallFloor are set before
+// the first Run.
 type Streamer struct {
 	Engine  Engine
 	Router  Router
 	Checker *checker.Checker
 	Log     zerolog.Logger
-	// StallFloor is the shortest silence after which the stages are asked.
+	// StallFloor is the shortest silence after which the stages are probed.
 	StallFloor time.Duration
-	// Dropped counts frames of another attempt or index.
+	// Dropped counts frames that were ignored because they belong to another request or attempt,
+	// or repeat a token.
 	Dropped atomic.Int64
-	// Relayed counts tokens that were delivered.
+	// Relayed counts the delivered tokens.
 	Relayed atomic.Int64
 }
 
-// Run streams a job. emit is given each token in order and whether more can be
-// had without waiting. The error is Route's or Retry's; Result tells the rest.
+// Run streams a job. It calls emit with each token in order and with whether another one is
+// available without waiting. The error is that of Route or Retry; Result describes the outcome in
+// either case.
 func (s *Streamer) Run(ctx context.Context, job *Job, emit func(text string, more bool) error) (Result, error) {
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
 	defer cancel()
 	r := &run{Streamer: s, job: job, emit: emit}
 	for {
-		r.res.Attempts++
-		stages, gap, err := s.Router.Route(ctx, job, r.res.Attempts)
+		r.result.Attempts++
+		stages, gap, err := s.Router.Route(ctx, job, r.result.Attempts)
 		if err != nil {
-			return r.res, err
+			return r.result, err
 		}
 		failure := r.attempt(ctx, stages, gap)
 		s.Router.Release(job, stages, failure)
-		r.res.Last = failure
+		r.result.Last = failure
 		if failure == nil {
-			return r.res, nil
+			return r.result, nil
 		}
 		if err := s.Router.Retry(job, failure); err != nil {
-			return r.res, err
+			return r.result, err
 		}
 		s.Log.Info().Str("requestId", job.ID).Stringer("cause", failure.Cause).Str("upstream", failure.Upstream).
-			Int("tokens", r.res.Tokens).Msg("streamer: attempt failed, trying another route")
+			Int("tokens", r.result.Tokens).Msg("streamer: attempt failed, trying another route")
 	}
 }
 
+// run is the state of one job.
 type run struct {
 	*Streamer
-	job       *Job
-	emit      func(string, bool) error
-	res       Result
+	job    *Job
+	emit   func(string, bool) error
+	result Result
+	// delivered holds the tokens that the caller got.
 	delivered []string
 	// last is when the last token was delivered.
 	last time.Time
 }
 
-// attempt runs one route to its end; nil means the answer is whole.
+// attempt runs the job over one route. It returns nil when the answer is complete.
 func (r *run) attempt(ctx context.Context, stages []Stage, gap time.Duration) *Failure {
-	fail := &Failure{Attempt: r.res.Attempts, Stages: stages}
+	failure := &Failure{Attempt: r.result.Attempts, Stages: stages}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	quiet := &watchdog{
-		cancel: cancel,
-		limit:  max(r.StallFloor, 2*gap),
-		doubt:  func() string { return r.Router.Doubt(ctx, stages) },
+	wd := &watchdog{
+		cancel:       cancel,
+		silenceLimit: max(r.StallFloor, 2*gap),
+		probe:        func() string { return r.Router.Doubt(ctx, stages) },
 	}
-	quiet.start()
-	defer quiet.stop()
+	wd.arm()
+	defer wd.disarm()
 	frames, err := r.Engine.Generate(ctx, stages[0].Address, r.request(stages))
-	fail.Started = !errors.Is(err, ErrNotSent)
+	failure.Started = !errors.Is(err, ErrNotSent)
 	var refusal *EngineError
 	if errors.As(err, &refusal) {
-		fail.Started = !refusal.NotRun
+		failure.Started = !refusal.NotRun
 	}
-	r.res.Started = r.res.Started || fail.Started
+	r.result.Started = r.result.Started || failure.Started
 	if err != nil {
-		return r.explain(ctx, fail, err, quiet)
+		return r.classify(ctx, failure, err, wd)
 	}
 	defer frames.Close()
 	for {
 		f, err := frames.Next()
 		if err != nil {
-			return r.explain(ctx, fail, err, quiet)
+			return r.classify(ctx, failure, err, wd)
 		}
-		quiet.stop()
-		done, bad := r.take(f, stages, frames.Buffered, fail)
-		if done || bad {
-			return failureIf(bad, fail)
+		wd.disarm()
+		done, failed := r.accept(f, stages, frames.Buffered, failure)
+		if done || failed {
+			return failureIf(failed, failure)
 		}
-		quiet.start()
+		wd.arm()
 	}
 }
 
-func failureIf(bad bool, f *Failure) *Failure {
-	if bad {
+// failureIf returns f when the attempt failed, else nil.
+func failureIf(failed bool, f *Failure) *Failure {
+	if failed {
 		return f
 	}
 	return nil
@@ -216,7 +223,7 @@
 func (r *run) request(stages []Stage) *Generate {
 	return &Generate{
 		RequestID: r.job.ID,
-		Attempt:   r.res.Attempts,
+		Attempt:   r.result.Attempts,
 		Model:     r.job.Model,
 		Version:   r.job.Version,
 		Workspace: r.job.Workspace,
@@ -228,42 +235,43 @@
 	}
 }
 
-// take delivers a frame or tells why not. done means the answer is whole, bad
-// that the attempt failed as said in fail.
-func (r *run) take(f *Frame, stages []Stage, more func() bool, fail *Failure) (done, bad bool) {
+// accept checks a frame and delivers it. done means that the answer is complete, failed that the
+// attempt failed for the cause that it sets in failure.
+func (r *run) accept(f *Frame, stages []Stage, more func() bool, failure *Failure) (done, failed bool) {
 	for _, l := range f.Loads {
 		r.Router.Report(l.Upstream, l.Load)
 	}
-	// An engine answered an old attempt late, or its buffers held two streams:
-	// a caller saw a token twice, or another caller's. Request, attempt and
-	// index name the one frame that may come next.
-	if f.RequestID != r.job.ID || f.Attempt != r.res.Attempts || f.Index < r.res.Tokens {
+	// An engine may send late frames of an earlier attempt, or mix two streams in its buffers.
+	// Unless request, attempt and index are checked, a caller gets a token twice or one of
+	// another caller.
+	if f.RequestID != r.job.ID || f.Attempt != r.result.Attempts || f.Index < r.result.Tokens {
 		r.Dropped.Add(1)
 		return false, false
 	}
 	if f.Error != nil {
-		blame(fail, f.Error)
+		setEngineCause(failure, f.Error)
 		return false, true
 	}
-	if f.Index > r.res.Tokens {
-		fail.Cause = CauseGap
+	if f.Index > r.result.Tokens {
+		failure.Cause = CauseGap
 		return false, true
 	}
-	// A stage was reloaded with other layers in mid-stream and answered with
-	// what it had: a token came out of layers that were skipped or run twice.
-	if !ranAsAsked(f.Spans, stages) {
-		fail.Cause = CauseLayers
+	// A stage that is reloaded with other layers during a stream continues with those, and the
+	// token comes from layers that were skipped or run twice.
+	if !spansMatch(f.Spans, stages) {
+		failure.Cause = CauseLayers
 		return false, true
 	}
-	r.Checker.Assert(tiles(f.Spans, r.job.Layers), checker.InvariantLayers, r.job.ID, "token %d ran %v of %d layers", f.Index, f.Spans, r.job.Layers)
-	return r.deliver(f, more, fail)
+	r.Checker.Assert(coversLayers(f.Spans, r.job.Layers), checker.InvariantLayers, r.job.ID, "token %d ran %v of %d layers", f.Index, f.Spans, r.job.Layers)
+	return r.deliver(f, more, failure)
 }
 
-func (r *run) deliver(f *Frame, more func() bool, fail *Failure) (done, bad bool) {
+// deliver passes a checked frame's token to emit and records it.
+func (r *run) deliver(f *Frame, more func() bool, failure *Failure) (done, failed bool) {
 	r.Checker.Assert(f.RequestID == r.job.ID && f.Index == len(r.delivered), checker.InvariantAnswer, r.job.ID,
 		"token %d of request %q delivered as number %d", f.Index, f.RequestID, len(r.delivered))
 	if err := r.emit(f.Text, f.Finish == "" && more()); err != nil {
-		fail.Cause = CauseCaller
+		failure.Cause = CauseCaller
 		return false, true
 	}
 	now := time.Now()
@@ -272,58 +280,60 @@
 	}
 	r.last = now
 	r.delivered = append(r.delivered, f.Text)
-	r.res.Tokens++
+	r.result.Tokens++
 	r.Relayed.Add(1)
 	if f.Finish == "" {
 		return false, false
 	}
-	r.res.Finish = f.Finish
+	r.result.Finish = f.Finish
 	return true, false
 }
 
-// explain finds the cause of a broken stream.
-func (r *run) explain(ctx context.Context, fail *Failure, err error, quiet *watchdog) *Failure {
+// classify sets the cause and the upstream of a failed attempt from the error that ended it.
+func (r *run) classify(ctx context.Context, failure *Failure, err error, wd *watchdog) *Failure {
 	var refusal *EngineError
 	switch {
-	case quiet.fired.Load():
-		fail.Cause, fail.Upstream = CauseStall, quiet.silent()
+	case wd.fired.Load():
+		failure.Cause, failure.Upstream = CauseStall, wd.unresponsiveStage()
 	case !time.Now().Before(r.job.Deadline):
-		fail.Cause = CauseDeadline
+		failure.Cause = CauseDeadline
 	case ctx.Err() != nil:
-		fail.Cause = CauseCaller
+		failure.Cause = CauseCaller
 	case errors.As(err, &refusal):
-		blame(fail, refusal)
+		setEngineCause(failure, refusal)
 	case errors.Is(err, ErrNotSent):
-		fail.Cause, fail.Upstream = CauseConnect, fail.Stages[0].Upstream
+		failure.Cause, failure.Upstream = CauseConnect, failure.Stages[0].Upstream
 	default:
-		fail.Cause, fail.Upstream = CauseBroken, fail.Stages[0].Upstream
+		failure.Cause, failure.Upstream = CauseBroken, failure.Stages[0].Upstream
 	}
-	r.Log.Debug().Str("requestId", r.job.ID).Stringer("cause", fail.Cause).Err(err).Msg("streamer: stream ended early")
-	return fail
+	r.Log.Debug().Str("requestId", r.job.ID).Stringer("cause", failure.Cause).Err(err).Msg("streamer: stream ended early")
+	return failure
 }
 
-func blame(fail *Failure, e *EngineError) {
-	fail.Upstream = e.Upstream
-	if fail.Upstream == "" {
-		fail.Upstream = fail.Stages[0].Upstream
+// setEngineCause sets the cause and the upstream of a failure from an engine's error.
+func setEngineCause(failure *Failure, e *EngineError) {
+	failure.Upstream = e.Upstream
+	if failure.Upstream == "" {
+		failure.Upstream = failure.Stages[0].Upstream
 	}
 	switch e.Kind {
 	case KindDown:
-		fail.Cause = CauseStage
+		failure.Cause = CauseStage
 	case KindUnreachable:
-		fail.Cause = CauseConnect
+		failure.Cause = CauseConnect
 	case KindLeaving:
-		fail.Cause = CauseLeaving
+		failure.Cause = CauseLeaving
 	case KindNotLoaded:
-		fail.Cause = CauseNotLoaded
+		failure.Cause = CauseNotLoaded
 	case KindBusy:
-		fail.Cause = CauseBusy
+		failure.Cause = CauseBusy
 	default:
-		fail.Cause = CauseInvalid
+		failure.Cause = CauseInvalid
 	}
 }
 
-func ranAsAsked(spans []Span, stages []Stage) bool {
+// spansMatch reports whether the layers that ran are exactly those of the stages.
+func spansMatch(spans []Span, stages []Stage) bool {
 	if len(spans) != len(stages) {
 		return false
 	}
@@ -335,7 +345,8 @@
 	return true
 }
 
-func tiles(spans []Span, layers int) bool {
+// coversLayers reports whether the spans cover all layers once and in order.
+func coversLayers(spans []Span, layers int) bool {
 	next := 0
 	for _, s := range spans {
 		if s.First != next || s.Last < s.First {
--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -25,59 +25,60 @@
 	layers = 8
 )
 
-// oneRoute gives every attempt the same route and lets it retry.
-type oneRoute struct {
+// fixedRouter is a Router that returns the same route for every attempt, allows retries and records
+// the causes of failures.
+type fixedRouter struct {
 	failures []streamer.Cause
 }
 
-func (o *oneRoute) Route(context.Context, *streamer.Job, int) ([]streamer.Stage, time.Duration, error) {
+func (o *fixedRouter) Route(context.Context, *streamer.Job, int) ([]streamer.Stage, time.Duration, error) {
 	return []streamer.Stage{
 		{Span: streamer.Span{Upstream: "a", First: 0, Last: 3}, Address: "10.0.0.1:1"},
 		{Span: streamer.Span{Upstream: "b", First: 4, Last: 7}, Address: "10.0.0.1:2"},
 	}, time.Millisecond, nil
 }
 
-func (o *oneRoute) Release(*streamer.Job, []streamer.Stage, *streamer.Failure) {}
+func (o *fixedRouter) Release(*streamer.Job, []streamer.Stage, *streamer.Failure) {}
 
-func (o *oneRoute) Doubt(context.Context, []streamer.Stage) string { return "" }
+func (o *fixedRouter) Doubt(context.Context, []streamer.Stage) string { return "" }
 
-func (o *oneRoute) Gap(*streamer.Job, time.Time, time.Duration) {}
+func (o *fixedRouter) Gap(*streamer.Job, time.Time, time.Duration) {}
 
-func (o *oneRoute) Report(string, tracker.Load) {}
+func (o *fixedRouter) Report(string, tracker.Load) {}
 
-var errEnough = errors.New("enough attempts")
+var errNoRetries = errors.New("no retries left")
 
-func (o *oneRoute) Retry(_ *streamer.Job, f *streamer.Failure) error {
+func (o *fixedRouter) Retry(_ *streamer.Job, f *streamer.Failure) error {
 	o.failures = append(o.failures, f.Cause)
 	if len(o.failures) > 3 || f.Cause == streamer.CauseCaller {
-		return errEnough
+		return errNoRetries
 	}
 	return nil
 }
 
-// engine answers each attempt with the bytes that a script makes of the whole
-// stream for it.
-type engine func(g *streamer.Generate, whole [][]byte) []byte
+// scriptedEngine is an http.RoundTripper that responds to each attempt with the bytes that the
+// function makes from the attempt's complete frames.
+type scriptedEngine func(g *streamer.Generate, whole [][]byte) []byte
 
-func (e engine) RoundTrip(r *http.Request) (*http.Response, error) {
+func (e scriptedEngine) RoundTrip(r *http.Request) (*http.Response, error) {
 	g := new(streamer.Generate)
 	if err := json.NewDecoder(r.Body).Decode(g); err != nil {
 		return nil, err
 	}
-	body := e(g, stream(g))
+	body := e(g, frames(g))
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body)), Request: r}, nil
 }
 
-func stream(g *streamer.Generate) [][]byte {
+func frames(g *streamer.Generate) [][]byte {
 	var out [][]byte
 	for i := len(g.Delivered); i < g.MaxTokens; i++ {
-		out = append(out, frame(g, i, func(*streamer.Frame) {}))
+		out = append(out, encodeFrame(g, i, func(*streamer.Frame) {}))
 	}
 	return out
 }
 
-// frame is the encoded frame of a token, after change had its way with it.
-func frame(g *streamer.Generate, i int, change func(f *streamer.Frame)) []byte {
+// encodeFrame returns the encoded frame of token i, modified by change.
+func encodeFrame(g *streamer.Generate, i int, change func(f *streamer.Frame)) []byte {
 	f := &streamer.Frame{RequestID: g.RequestID, Attempt: g.Attempt, Index: i, Text: faker.Token(g.Prompt, i)}
 	for _, s := range g.Route {
 		f.Spans = append(f.Spans, s.Span)
@@ -90,10 +91,10 @@
 	return append(b, '\n')
 }
 
-// run streams one job before an engine and returns what the caller got.
-func run(t *testing.T, e engine) (string, streamer.Result, *oneRoute, *streamer.Streamer) {
+// runJob streams one job from an engine and returns what the caller got.
+func runJob(t *testing.T, e scriptedEngine) (string, streamer.Result, *fixedRouter, *streamer.Streamer) {
 	t.Helper()
-	route := new(oneRoute)
+	route := new(fixedRouter)
 	s := &streamer.Streamer{
 		Engine:     &streamer.Client{HTTP: &http.Client{Transport: e}},
 		Router:     route,
@@ -109,40 +110,39 @@
 	return got.String(), res, route, s
 }
 
-func assertWhole(t *testing.T, got string, res streamer.Result) {
+func assertComplete(t *testing.T, got string, res streamer.Result) {
 	t.Helper()
 	is := is.New(t)
 	is.Equal(got, faker.Answer(prompt, tokens))
 	is.Equal(res.Finish, "length")
 }
 
-// TestCutEverywhere. The connection to an engine breaks in the middle of a
-// frame. The caller saw half a token, or one twice, or none. The stream is cut at
-// every byte in turn, and the next attempt goes on where the caller is.
-func TestCutEverywhere(t *testing.T) {
+// TestResumeAfterCutAtEveryByte guards against a partial, repeated or lost token when the connection
+// to an engine breaks within a frame. It cuts the stream at every byte in turn.
+func TestResumeAfterCutAtEveryByte(t *testing.T) {
 	g := &streamer.Generate{RequestID: "r1", Attempt: 1, Prompt: prompt, MaxTokens: tokens}
-	g.Route, _, _ = new(oneRoute).Route(t.Context(), nil, 1)
-	size := len(bytes.Join(stream(g), nil))
+	g.Route, _, _ = new(fixedRouter).Route(t.Context(), nil, 1)
+	size := len(bytes.Join(frames(g), nil))
 	for n := range size {
-		got, res, _, _ := run(t, func(g *streamer.Generate, whole [][]byte) []byte {
+		got, res, _, _ := runJob(t, func(g *streamer.Generate, whole [][]byte) []byte {
 			all := bytes.Join(whole, nil)
 			if g.Attempt == 1 {
 				return all[:n]
 			}
 			return all
 		})
-		assertWhole(t, got, res)
+		assertComplete(t, got, res)
 		is.New(t).Equal(res.Attempts, 2)
 	}
 }
 
-// TestFrames feeds frames that must not reach the caller as they are.
+// TestFrames checks that repeated, foreign, missing and invalid frames never reach the caller.
 func TestFrames(t *testing.T) {
 	other := func(f *streamer.Frame) { f.RequestID, f.Text = "r2", "another's " }
 	for _, row := range []struct {
 		name  string
 		cause streamer.Cause
-		// dropped is how many frames are passed over.
+		// dropped is the number of frames that are ignored.
 		dropped int64
 		first   func(g *streamer.Generate, whole [][]byte) [][]byte
 	}{
@@ -150,10 +150,10 @@
 			return [][]byte{w[0], w[0], w[1], w[0], w[1], w[2], w[2], w[3]}
 		}},
 		{"another request's", streamer.CauseNone, 2, func(g *streamer.Generate, w [][]byte) [][]byte {
-			return [][]byte{frame(g, 0, other), w[0], w[1], frame(g, 2, other), w[2], w[3]}
+			return [][]byte{encodeFrame(g, 0, other), w[0], w[1], encodeFrame(g, 2, other), w[2], w[3]}
 		}},
 		{"of an older attempt", streamer.CauseNone, 1, func(g *streamer.Generate, w [][]byte) [][]byte {
-			late := frame(g, 0, func(f *streamer.Frame) { f.Attempt, f.Text = 9, "late " })
+			late := encodeFrame(g, 0, func(f *streamer.Frame) { f.Attempt, f.Text = 9, "late " })
 			return [][]byte{late, w[0], w[1], w[2], w[3]}
 		}},
 		{"out of order", streamer.CauseGap, 0, func(_ *streamer.Generate, w [][]byte) [][]byte {
@@ -163,32 +163,32 @@
 			return [][]byte{w[0], w[1], w[3]}
 		}},
 		{"a layer skipped", streamer.CauseLayers, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
-			return [][]byte{w[0], frame(g, 1, func(f *streamer.Frame) { f.Spans[1].First++ })}
+			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Spans[1].First++ })}
 		}},
 		{"a layer twice", streamer.CauseLayers, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
-			return [][]byte{w[0], frame(g, 1, func(f *streamer.Frame) { f.Spans[1].First-- })}
+			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Spans[1].First-- })}
 		}},
 		{"stages swapped", streamer.CauseLayers, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
-			return [][]byte{w[0], frame(g, 1, func(f *streamer.Frame) { f.Spans[0], f.Spans[1] = f.Spans[1], f.Spans[0] })}
+			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Spans[0], f.Spans[1] = f.Spans[1], f.Spans[0] })}
 		}},
 		{"no layers", streamer.CauseLayers, 0, func(g *streamer.Generate, _ [][]byte) [][]byte {
-			return [][]byte{frame(g, 0, func(f *streamer.Frame) { f.Spans = nil })}
+			return [][]byte{encodeFrame(g, 0, func(f *streamer.Frame) { f.Spans = nil })}
 		}},
 		{"no JSON", streamer.CauseBroken, 0, func(*streamer.Generate, [][]byte) [][]byte {
 			return [][]byte{[]byte("{\"index\":\n")}
 		}},
 		{"a stage down", streamer.CauseStage, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
-			return [][]byte{w[0], frame(g, 1, func(f *streamer.Frame) { f.Error = &streamer.EngineError{Kind: streamer.KindDown, Upstream: "b"} })}
+			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Error = &streamer.EngineError{Kind: streamer.KindDown, Upstream: "b"} })}
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got, res, route, s := run(t, func(g *streamer.Generate, whole [][]byte) []byte {
+			got, res, route, s := runJob(t, func(g *streamer.Generate, whole [][]byte) []byte {
 				if g.Attempt == 1 {
 					whole = row.first(g, whole)
 				}
 				return bytes.Join(whole, nil)
 			})
-			assertWhole(t, got, res)
+			assertComplete(t, got, res)
 			is := is.New(t)
 			is.Equal(s.Dropped.Load(), row.dropped)
 			if row.cause == streamer.CauseNone {
@@ -200,7 +200,7 @@
 	}
 }
 
-// FuzzDecodeFrame feeds the frame decoder; what it takes must be in bounds.
+// FuzzDecodeFrame checks that each frame that the decoder accepts is within bounds.
 func FuzzDecodeFrame(f *testing.F) {
 	f.Add([]byte(`{"requestId":"r","attempt":1,"index":0,"text":"x","spans":[{"upstream":"a","first":0,"last":3}]}`))
 	f.Add([]byte(`{"attempt":1,"index":-1}`))
@@ -213,11 +213,11 @@
 			return
 		}
 		if fr.Index < 0 || fr.Attempt < 1 {
-			t.Errorf("took %+v", fr)
+			t.Errorf("accepted frame %+v; want index >= 0 and attempt >= 1", fr)
 		}
 		for _, s := range fr.Spans {
 			if s.First < 0 || s.Last < s.First {
-				t.Errorf("took span %+v", s)
+				t.Errorf("accepted span %+v; want 0 <= First <= Last", s)
 			}
 		}
 	})
--- a/streamer/watchdog.go
+++ b/streamer/watchdog.go
@@ -7,86 +7,91 @@
 	"time"
 )
 
-// hardFactor is how many limits of silence end an attempt though all its stages
-// answer: the sequence itself is lost somewhere.
-const hardFactor = 32
+// maxSilenceFactor times the silence limit ends an attempt even if all its stages respond: then the
+// sequence itself is lost.
+const maxSilenceFactor = 32
 
-// watchdog ends an attempt whose stream is silent.
+// watchdog cancels an attempt whose stream is silent.
 //
-// A stage was frozen, or a link swallowed its packets: nothing broke, so nothing
-// was reported, and the caller's stream stood still. After a limit of silence
-// the stages are asked whether they live; when one doesn't answer the attempt is
-// canceled, which cancels it upstream too, and the next one goes around it.
-// Silence alone is no proof: under load, tokens of all streams come late at
-// once, and moving them only added load. So while all stages answer, the limit
-// doubles, up to a hard one.
+// A frozen stage or a link that drops packets breaks no connection, so that no error ends the
+// stream. After the silence limit the stages are probed. When one does not respond the attempt is
+// canceled, which cancels it upstream too, and the next attempt avoids that stage.
+//
+// Silence alone does not prove a fault: under load the tokens of all streams are late at once, and
+// rerouting the streams only adds load. While all stages respond, the limit therefore doubles, up
+// to maxSilenceFactor times.
 type watchdog struct {
 	cancel context.CancelFunc
-	// limit is the silence after which the stages are asked.
-	limit time.Duration
-	// doubt returns a stage that doesn't answer, or nothing.
-	doubt func() string
+	// silenceLimit is the silence after which the stages are first probed.
+	silenceLimit time.Duration
+	// probe returns the upstream of a stage that does not respond, or "".
+	probe func() string
 
+	// fired is set once the watchdog has canceled the attempt.
 	fired atomic.Bool
 	mu    sync.Mutex
 	timer *time.Timer
-	// beat counts starts and stops; a verdict on an earlier silence is void.
-	beat int
-	bad  string
+	// epoch counts the calls of arm and disarm. The result of a probe that began in an earlier
+	// epoch is ignored.
+	epoch int
+	// unresponsive is the stage for which the attempt was canceled, see unresponsiveStage.
+	unresponsive string
 }
 
-// start begins to wait for a frame.
-func (w *watchdog) start() {
+// arm starts the timer for the next frame.
+func (w *watchdog) arm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.beat++
+	w.epoch++
 	if w.timer == nil {
-		w.timer = time.AfterFunc(w.limit, w.fire)
+		w.timer = time.AfterFunc(w.silenceLimit, w.expire)
 		return
 	}
-	w.timer.Reset(w.limit)
+	w.timer.Reset(w.silenceLimit)
 }
 
-func (w *watchdog) stop() {
+// disarm stops the timer and voids a probe that is under way.
+func (w *watchdog) disarm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.beat++
+	w.epoch++
 	w.timer.Stop()
 }
 
-// silent is the stage that didn't answer; empty when all did.
-func (w *watchdog) silent() string {
+// unresponsiveStage returns the stage that did not respond; empty when all did.
+func (w *watchdog) unresponsiveStage() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.bad
+	return w.unresponsive
 }
 
-// fire asks the stages until one doesn't answer, a frame comes, or the hard
-// limit is over. It runs in the timer's goroutine.
-func (w *watchdog) fire() {
+// expire probes the stages until one does not respond, a frame arrives, or maxSilenceFactor is
+// reached. It runs in the timer's goroutine.
+func (w *watchdog) expire() {
 	w.mu.Lock()
-	beat := w.beat
+	epoch := w.epoch
 	w.mu.Unlock()
-	for waited := w.limit; ; waited *= 2 {
-		bad := w.doubt()
-		if w.judge(beat, bad, waited >= hardFactor*w.limit) {
+	for waited := w.silenceLimit; ; waited *= 2 {
+		unresponsive := w.probe()
+		if w.decide(epoch, unresponsive, waited >= maxSilenceFactor*w.silenceLimit) {
 			return
 		}
 		time.Sleep(waited)
 	}
 }
 
-// judge reports whether the silence is over, one way or the other.
-func (w *watchdog) judge(beat int, bad string, hard bool) bool {
+// decide reports whether probing ends: the epoch has changed, or a stage is unresponsive or final is
+// set, in which case it cancels the attempt.
+func (w *watchdog) decide(epoch int, unresponsive string, final bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.beat != beat {
+	if w.epoch != epoch {
 		return true
 	}
-	if bad == "" && !hard {
+	if unresponsive == "" && !final {
 		return false
 	}
-	w.bad = bad
+	w.unresponsive = unresponsive
 	w.fired.Store(true)
 	w.cancel()
 	return true
