--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -1,10 +1,10 @@
-// Package admitter decides which request goes next and which is refused.
+// Package admitter decides which request runs next and which is refused.
 //
-// A request that finds no room waits in a queue ordered by priority, then by
-// how little its workspace was served, then by arrival. The queue is bounded in
-// time: one that could not start before its deadline is refused at once, with
-// the time after which a new try is worthwhile. Nothing given up on is held
-// back. The package does no I/O; what a place is comes in as Try.
+// A request for which there is no capacity waits in a queue that is ordered by priority, then by
+// the work that its workspace was served (least first), then by arrival. A request that could not
+// start before its deadline is refused at once, with the time after which a retry can succeed.
+// Requests whose callers give up leave the queue. The package does no I/O; what a slot is, the
+// caller's try function decides.
 package admitter
 
 import (
@@ -19,72 +19,72 @@
 
 //go:generate enumer -type Reason -trimprefix Reason -transform title-lower -output reason_gen.go
 
-// Reason is why a request was refused or given up on.
+// Reason is why a request was refused or abandoned.
 type Reason int
 
-// The reasons, each the label of a counter.
+// The reasons. Their texts are values of a metric's label and are sent to callers.
 const (
-	// ReasonNone is no refusal.
+	// ReasonNone: no refusal.
 	ReasonNone Reason = iota
 	// ReasonQueueFull: too many requests wait on this host.
 	ReasonQueueFull
-	// ReasonDeadline: it could not start, or end, before its deadline.
+	// ReasonDeadline: the request could not start, or end, before its deadline.
 	ReasonDeadline
-	// ReasonRateLimit: its workspace is over its limit.
+	// ReasonRateLimit: the workspace exceeds its request rate.
 	ReasonRateLimit
-	// ReasonNoRoute: no upstream can run it.
+	// ReasonNoRoute: no upstream can run the request.
 	ReasonNoRoute
-	// ReasonQuarantined: it crashed the upstreams that ran it.
+	// ReasonQuarantined: the request crashed the upstreams that ran it.
 	ReasonQuarantined
-	// ReasonStopping: this host is stopping.
+	// ReasonStopping: this host is draining.
 	ReasonStopping
-	// ReasonNotReady: this host has no configuration yet.
+	// ReasonNotReady: this host has no configuration yet, or its configuration is too old.
 	ReasonNotReady
-	// ReasonUnauthorised: no key, or one that names no workspace.
+	// ReasonUnauthorised: the key is missing or belongs to no workspace.
 	ReasonUnauthorised
-	// ReasonForbidden: the workspace may not use what it asks for.
+	// ReasonForbidden: the workspace may not use what it requests.
 	ReasonForbidden
-	// ReasonMalformed: the request can't be read.
+	// ReasonMalformed: the request can't be parsed.
 	ReasonMalformed
-	// ReasonTooLarge: the request's body is over the limit.
+	// ReasonTooLarge: the request's body exceeds the limit.
 	ReasonTooLarge
 	// ReasonUnknown: there is no such path, pipeline, service or call.
 	ReasonUnknown
-	// ReasonNoKey: a call that is not idempotent came without a key.
+	// ReasonNoKey: a call that is not idempotent has no idempotency key.
 	ReasonNoKey
-	// ReasonKeyReused: the key came before with another request.
+	// ReasonKeyReused: the idempotency key was used with another request.
 	ReasonKeyReused
 	// ReasonRunning: the same call is still running.
 	ReasonRunning
-	// ReasonOutcomeUnknown: the call may have run; it is never run again.
+	// ReasonOutcomeUnknown: the call may have run, and is never run again.
 	ReasonOutcomeUnknown
 	// ReasonPlatform: the platform can't be reached, so a call that is not
 	// idempotent can't be recorded.
 	ReasonPlatform
-	// ReasonUpstream: upstreams failed it and retrying is over.
+	// ReasonUpstream: upstreams failed the request and no attempts are left.
 	ReasonUpstream
-	// ReasonRetryBudget: too many retries already, so no more.
+	// ReasonRetryBudget: the retry budget is used up.
 	ReasonRetryBudget
-	// ReasonCanceled: the caller went away.
+	// ReasonCanceled: the caller disconnected.
 	ReasonCanceled
-	// ReasonUpstreamLimit: the upstreams that could run it get as many requests as they
-	// said that they take.
+	// ReasonUpstreamLimit: the upstreams that could run the request are at the limits that they
+	// announced.
 	ReasonUpstreamLimit
 )
 
-// Refusal tells a caller why its request was not answered.
+// Refusal is the error that tells a caller why its request was not served.
 type Refusal struct {
-	// Reason is the counter's label; never ReasonNone.
+	// Reason is never ReasonNone.
 	Reason Reason
-	// RetryAfter is when a new try is worthwhile; 0 means a new try won't help.
+	// RetryAfter is the time after which a retry can succeed; 0 means that a retry won't help.
 	RetryAfter time.Duration
-	// NotRun holds only when no upstream was sent any byte of the request.
+	// NotRun is set only when no upstream was sent any byte of the request.
 	NotRun bool
-	// Detail is for people; it may be empty.
+	// Detail is a text for people; it may be empty.
 	Detail string
 }
 
-// Error gives the reason and the detail.
+// Error returns the reason and the detail.
 func (r *Refusal) Error() string {
 	if r.Detail == "" {
 		return r.Reason.String()
@@ -92,117 +92,124 @@
 	return r.Reason.String() + ": " + r.Detail
 }
 
-// Ticket is a request that wants a place.
+// Ticket describes a request for a slot.
 type Ticket struct {
 	Workspace string
-	// Group is what it waits for, a pipeline or service; requests of different
-	// groups don't hold each other up.
+	// Group is the pipeline or service that the request waits for; requests of different groups
+	// don't delay each other.
 	Group string
-	// Priority is served before lower ones.
+	// Priority orders the queue; higher values are served first.
 	Priority int
-	// Cost is the expected work, in any one unit; at least 1.
+	// Cost is the expected work, in the same unit for all tickets; less than 1 counts as 1.
 	Cost float64
-	// Deadline is when the answer must be whole.
+	// Deadline is when the answer must be complete.
 	Deadline time.Time
-	// Service is how long the answer takes once started.
+	// Service is the expected time from start to the complete answer.
 	Service time.Duration
 }
 
-// Admitter hands out places of type T, such as a route.
+// Admitter grants slots of type T, such as a route, and queues the requests for which there is
+// none. It is safe for concurrent use; Queued is set before use.
 type Admitter[T any] struct {
-	// Queued bounds the requests that wait.
+	// Queued is the maximum number of waiting requests over all groups.
 	Queued int
 
 	mu     sync.Mutex
 	groups map[string]*group[T]
+	// served is the work served so far, by workspace.
 	served map[string]float64
-	total  int
+	// waitingTotal is the number of waiting requests over all groups.
+	waitingTotal int
 }
 
+// group is the queue for one pipeline or service.
 type group[T any] struct {
+	// waiting is sorted by before.
 	waiting []*waiter[T]
-	// drain is the smoothed rate of places given, in a second.
-	drain float64
-	last  time.Time
+	// grantRate is the smoothed number of slots granted a second.
+	grantRate float64
+	lastGrant time.Time
 }
 
+// waiter is a request that waits for a slot.
 type waiter[T any] struct {
 	ticket Ticket
 	try    func() (T, bool)
-	ready  chan T
-	// fair is the work served to its workspace when it came, plus its own.
-	fair float64
-	seq  time.Time
+	// slot receives the granted slot.
+	slot chan T
+	// fairKey is the work served to the workspace when the request arrived, plus its own cost.
+	fairKey   float64
+	arrivedAt time.Time
 }
 
-// Acquire returns a place from try, at once or after waiting, or a Refusal.
-// try must not block. It is called under the admitter's lock, so places go out
-// in order.
+// Acquire returns a slot from try, at once or after waiting, or a Refusal. try must not block: it
+// is called with the admitter's lock held, so that slots are granted in order.
 func (a *Admitter[T]) Acquire(ctx context.Context, now time.Time, tk Ticket, try func() (T, bool)) (T, *Refusal) {
 	var none T
-	w, place, refusal := a.enter(now, tk, try)
+	w, place, refusal := a.admitOrQueue(now, tk, try)
 	if w == nil {
 		return place, refusal
 	}
 	timer := time.NewTimer(tk.Deadline.Add(-tk.Service).Sub(now))
 	defer timer.Stop()
 	select {
-	case place = <-w.ready:
+	case place = <-w.slot:
 		return place, nil
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	refusal = givenUp(ctx)
-	if place, ok := a.leave(tk.Group, w); ok {
+	refusal = abandonedRefusal(ctx)
+	if place, ok := a.dequeue(tk.Group, w); ok {
 		return place, nil
 	}
 	refusal.RetryAfter = a.RetryAfter(tk.Group)
 	return none, refusal
 }
 
-// givenUp is why a request that waited got no place: its caller went away, or
-// its time is over.
-func givenUp(ctx context.Context) *Refusal {
+// abandonedRefusal returns the refusal of a request that waited and got no slot: its caller
+// disconnected, or its deadline is too near.
+func abandonedRefusal(ctx context.Context) *Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return &Refusal{Reason: ReasonCanceled, NotRun: true}
 	}
 	return &Refusal{Reason: ReasonDeadline, NotRun: true, Detail: "no place before the deadline"}
 }
 
-// enter gives a place, a refusal or a waiter.
-func (a *Admitter[T]) enter(now time.Time, tk Ticket, try func() (T, bool)) (*waiter[T], T, *Refusal) {
+// admitOrQueue returns the waiter that it put into the queue, or a nil waiter with either a slot or
+// a refusal.
+func (a *Admitter[T]) admitOrQueue(now time.Time, tk Ticket, try func() (T, bool)) (*waiter[T], T, *Refusal) {
 	var none T
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.group(tk.Group)
-	w := &waiter[T]{ticket: tk, try: try, ready: make(chan T, 1), seq: now, fair: a.fairness(tk)}
+	w := &waiter[T]{ticket: tk, try: try, slot: make(chan T, 1), arrivedAt: now, fairKey: a.fairnessKey(tk)}
 	if len(g.waiting) == 0 || before(w, g.waiting[0]) {
 		if place, ok := try(); ok {
-			a.gave(now, g, w)
+			a.recordGrant(now, g, w)
 			return nil, place, nil
 		}
 	}
-	if a.total >= a.Queued {
-		return nil, none, &Refusal{Reason: ReasonQueueFull, NotRun: true, RetryAfter: g.wait(len(g.waiting))}
+	if a.waitingTotal >= a.Queued {
+		return nil, none, &Refusal{Reason: ReasonQueueFull, NotRun: true, RetryAfter: g.waitFor(len(g.waiting))}
 	}
 	at := g.position(w)
-	if wait := g.wait(at); now.Add(wait + tk.Service).After(tk.Deadline) {
+	if wait := g.waitFor(at); now.Add(wait + tk.Service).After(tk.Deadline) {
 		return nil, none, &Refusal{Reason: ReasonDeadline, NotRun: true, RetryAfter: max(wait, time.Second), Detail: "expected wait is past the deadline"}
 	}
 	g.waiting = append(g.waiting, nil)
 	copy(g.waiting[at+1:], g.waiting[at:])
 	g.waiting[at] = w
-	a.total++
+	a.waitingTotal++
 	return w, none, nil
 }
 
-// leave takes a waiter out, or returns the place it was given meanwhile.
-func (a *Admitter[T]) leave(name string, w *waiter[T]) (T, bool) {
+// dequeue removes a waiter, or returns true and the slot that the waiter was granted meanwhile.
+func (a *Admitter[T]) dequeue(name string, w *waiter[T]) (T, bool) {
 	var none T
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	select {
-	case place := <-w.ready:
+	case place := <-w.slot:
 		return place, true
 	default:
 	}
@@ -210,15 +217,15 @@
 	for i, other := range g.waiting {
 		if other == w {
 			g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
-			a.total--
+			a.waitingTotal--
 			break
 		}
 	}
 	return none, false
 }
 
-// Wake gives places to those who wait, in order, until there is none left. It
-// is called when a place may have become free.
+// Wake grants slots to a group's waiters in order until try finds none. It is to be called when a
+// slot may have become free.
 func (a *Admitter[T]) Wake(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -233,13 +240,13 @@
 			return
 		}
 		g.waiting = g.waiting[1:]
-		a.total--
-		a.gave(now, g, w)
-		w.ready <- place
+		a.waitingTotal--
+		a.recordGrant(now, g, w)
+		w.slot <- place
 	}
 }
 
-// WakeAll is Wake for every group.
+// WakeAll calls Wake for every group.
 func (a *Admitter[T]) WakeAll(now time.Time) {
 	a.mu.Lock()
 	names := make([]string, 0, len(a.groups))
@@ -254,7 +261,7 @@
 	}
 }
 
-// Waiting returns how many wait in each group.
+// Waiting returns the number of waiting requests in each group.
 func (a *Admitter[T]) Waiting() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -265,15 +272,15 @@
 	return out
 }
 
-// RetryAfter is how long the present queue of a group takes to drain, at least
-// a second.
+// RetryAfter returns the expected time to drain the present queue of a group, at least 1 s.
 func (a *Admitter[T]) RetryAfter(name string) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.group(name)
-	return max(time.Second, g.wait(len(g.waiting)))
+	return max(time.Second, g.waitFor(len(g.waiting)))
 }
 
+// group returns the group with a name, created if necessary.
 func (a *Admitter[T]) group(name string) *group[T] {
 	if a.groups == nil {
 		a.groups = make(map[string]*group[T])
@@ -287,10 +294,10 @@
 	return g
 }
 
-// fairness orders requests of equal priority by the work their workspaces were
-// served. One that was idle starts level with the least served, so that it
-// can't claim what it didn't use.
-func (a *Admitter[T]) fairness(tk Ticket) float64 {
+// fairnessKey orders requests of equal priority by the work that their workspaces were served. A
+// workspace that was idle starts level with the least served one, so that it can't claim the share
+// that it did not use.
+func (a *Admitter[T]) fairnessKey(tk Ticket) float64 {
 	least := math.Inf(1)
 	for _, v := range a.served {
 		least = min(least, v)
@@ -304,30 +311,32 @@
 	return a.served[tk.Workspace] + max(1, tk.Cost)
 }
 
-func (a *Admitter[T]) gave(now time.Time, g *group[T], w *waiter[T]) {
+// recordGrant counts a granted slot for the workspace and the group.
+func (a *Admitter[T]) recordGrant(now time.Time, g *group[T], w *waiter[T]) {
 	a.served[w.ticket.Workspace] += max(1, w.ticket.Cost)
-	g.gave(now)
+	g.recordGrant(now)
 }
 
-// gave smooths the rate of places over about the last two seconds.
-func (g *group[T]) gave(now time.Time) {
+// recordGrant updates the grant rate, smoothed over about the last two seconds.
+func (g *group[T]) recordGrant(now time.Time) {
 	const window = 2.0
-	if !g.last.IsZero() {
-		g.drain *= math.Exp(-now.Sub(g.last).Seconds() / window)
+	if !g.lastGrant.IsZero() {
+		g.grantRate *= math.Exp(-now.Sub(g.lastGrant).Seconds() / window)
 	}
-	g.drain += 1 / window
-	g.last = now
+	g.grantRate += 1 / window
+	g.lastGrant = now
 }
 
-// wait is how long n places take at the present rate; 0 when none was given
-// yet, so the first requests are let wait.
-func (g *group[T]) wait(n int) time.Duration {
-	if g.drain <= 0 || n == 0 {
+// waitFor returns the expected time until n slots are granted. It is 0 before the first grant, so
+// that the first requests may wait.
+func (g *group[T]) waitFor(n int) time.Duration {
+	if g.grantRate <= 0 || n == 0 {
 		return 0
 	}
-	return time.Duration(float64(n) / g.drain * float64(time.Second))
+	return time.Duration(float64(n) / g.grantRate * float64(time.Second))
 }
 
+// position returns the index in the queue at which w belongs.
 func (g *group[T]) position(w *waiter[T]) int {
 	for i, other := range g.waiting {
 		if before(w, other) {
@@ -337,36 +346,37 @@
 	return len(g.waiting)
 }
 
+// before reports whether a is served before b.
 func before[T any](a, b *waiter[T]) bool {
 	if a.ticket.Priority != b.ticket.Priority {
 		return a.ticket.Priority > b.ticket.Priority
 	}
-	if a.fair != b.fair {
-		return a.fair < b.fair
+	if a.fairKey != b.fairKey {
+		return a.fairKey < b.fairKey
 	}
-	return a.seq.Before(b.seq)
+	return a.arrivedAt.Before(b.arrivedAt)
 }
 
-// Budget bounds retries to a part of the requests that succeeded, so that a
-// failing upstream can't multiply the load on the others.
+// Budget limits retries to a fraction of the successful requests, so that a failing upstream can't
+// multiply the load on the others. Earn and Spend are safe for concurrent use.
 type Budget struct {
-	// Ratio is how many retries each success earns.
+	// Ratio is the number of retries that each success earns.
 	Ratio float64
-	// Burst is how many can be saved up; the budget starts full.
+	// Burst is the maximum number of saved retries; the budget starts with this many.
 	Burst float64
 
 	mu    sync.Mutex
 	spent float64
 }
 
-// Earn takes in a success.
+// Earn records a success.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-b.Ratio)
 }
 
-// Spend takes one retry, or reports that there is none.
+// Spend takes one retry, and returns false when there is none.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -377,7 +387,7 @@
 	return true
 }
 
-// newLimiter allows a second's worth at once, and at least one.
+// newLimiter returns a limiter whose burst is the number of requests in a second, at least 1.
 func newLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(math.Ceil(perSecond))))
 }
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -14,10 +14,10 @@
 	"github.com/sardineward/sardineward/builder"
 )
 
-// room is a number of places.
-type room struct{ free int }
+// slots is a number of free slots.
+type slots struct{ free int }
 
-func (r *room) try() (int, bool) {
+func (r *slots) try() (int, bool) {
 	if r.free == 0 {
 		return 0, false
 	}
@@ -25,12 +25,12 @@
 	return r.free, true
 }
 
-// TestOrder has requests wait for one place after another. Higher priorities go
-// first; among equals, workspaces that were served less.
-func TestOrder(t *testing.T) {
+// TestPriorityAndFairness checks that higher priorities are served first and, among equals, the
+// requests of workspaces that were served less.
+func TestPriorityAndFairness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &Admitter[int]{Queued: 100}
-		r := new(room)
+		r := new(slots)
 		var got []string
 		enter := func(name, workspace string, priority int) {
 			go func() {
@@ -59,13 +59,12 @@
 	})
 }
 
-// TestRefusedAtOnce. A queue drains one place a second, and a request that could
-// start only after its deadline comes. It was let wait until the deadline and
-// then refused; it must hear at once, and when to come back.
-func TestRefusedAtOnce(t *testing.T) {
+// TestRefusalWithoutWaiting guards against letting a request wait for its deadline when a queue that
+// grants one slot a second can't reach it before. The refusal must come at once, with RetryAfter.
+func TestRefusalWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &Admitter[int]{Queued: 100}
-		r := &room{free: 20}
+		r := &slots{free: 20}
 		ask := func(patience time.Duration) (time.Duration, *Refusal) {
 			start := time.Now()
 			_, refusal := a.Acquire(context.Background(), start, Ticket{Group: "g", Deadline: start.Add(patience)}, r.try)
@@ -92,12 +91,12 @@
 	})
 }
 
-// TestGivenUp. A caller goes away while its request waits. The place that comes
-// later must go to the next one.
-func TestGivenUp(t *testing.T) {
+// TestCanceledWaiter guards against granting a slot to a request whose caller disconnected while it
+// waited. The next one must get it.
+func TestCanceledWaiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &Admitter[int]{Queued: 100}
-		r := new(room)
+		r := new(slots)
 		ctx, cancel := context.WithCancel(context.Background())
 		tk := Ticket{Group: "g", Deadline: time.Now().Add(time.Hour)}
 		gone, stays := make(chan *Refusal, 1), make(chan *Refusal, 1)
@@ -121,23 +120,22 @@
 	})
 }
 
-// TestDeadlineByContext. The caller's context ends by its deadline, a moment
-// before the queue's own timer. The refusal said "canceled"; nobody had gone
-// away.
-func TestDeadlineByContext(t *testing.T) {
+// TestContextDeadlineReason guards against the reason "canceled", which means that the caller
+// disconnected, when the context's deadline passes just before the queue's own timer.
+func TestContextDeadlineReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &Admitter[int]{Queued: 100}
 		deadline := time.Now().Add(time.Second)
 		ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(-time.Millisecond))
 		defer cancel()
-		_, refusal := a.Acquire(ctx, time.Now(), Ticket{Group: "g", Deadline: deadline}, new(room).try)
+		_, refusal := a.Acquire(ctx, time.Now(), Ticket{Group: "g", Deadline: deadline}, new(slots).try)
 		is.New(t).Equal(refusal.Reason, ReasonDeadline)
 	})
 }
 
-// TestShares measures a limit of 100 requests a second over four hosts that
-// know the mean demand: what is let through of even and of skewed callers.
-func TestShares(t *testing.T) {
+// TestRateLimitShares measures how many requests pass a limit of 100 a second over four hosts that
+// know the mean demand, with even and with skewed load.
+func TestRateLimitShares(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		demands []float64
@@ -150,16 +148,16 @@
 		{"half at one", []float64{100, 40, 30, 30}, 90, 115},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			through := shares(row.demands, 100)
-			t.Logf("%v requests a second let through of a limit of 100", math.Round(through))
+			through := simulateShares(row.demands, 100)
+			t.Logf("%v requests a second passed a limit of 100", math.Round(through))
 			is.New(t).True(through >= row.least && through <= row.most)
 		})
 	}
 }
 
-// shares plays 30 seconds and returns what was let through a second in the last
-// 20 of them.
-func shares(demands []float64, limit float64) float64 {
+// simulateShares simulates 30 seconds and returns the requests a second that passed in the last 20
+// of them.
+func simulateShares(demands []float64, limit float64) float64 {
 	const step = 10 * time.Millisecond
 	now := time.Unix(0, 0)
 	hosts := make([]*Limits, len(demands))
@@ -179,13 +177,14 @@
 			}
 		}
 		if tick%100 == 99 {
-			share(now, hosts)
+			exchangeShares(now, hosts)
 		}
 	}
 	return float64(passed) / 20
 }
 
-func share(now time.Time, hosts []*Limits) {
+// exchangeShares gives every host the mean demand, as gossip does.
+func exchangeShares(now time.Time, hosts []*Limits) {
 	var mean float32
 	var list uint32
 	for _, h := range hosts {
--- a/admitter/latency.go
+++ b/admitter/latency.go
@@ -5,116 +5,120 @@
 	"time"
 )
 
-// Latency bounds the streams that a host has in flight so that their events come
+// Latency is an adaptive limit on the streams that a host has in flight, which keeps their events
 // in time.
 //
-// Past what the engines bear each further stream makes every batch slower, until no
-// answer comes in time. The bound falls while streams are late and rises while they
-// aren't and it is reached. Safe for concurrent use.
+// Beyond the engines' capacity each further stream slows every batch, until no answer is in time.
+// The limit decreases while streams are late, and increases while they are in time and it is
+// reached. It is safe for concurrent use; the zero value is ready to use.
 type Latency struct {
 	mu sync.Mutex
-	// limit is the bound; 0 before the first sample.
+	// limit is the maximum in flight; 0 before the first call of Enter.
 	limit    float64
 	inFlight int
-	// late is the smoothed share of late streams.
-	late float64
-	// cut is when the bound last fell, high what was in flight then.
-	cut  time.Duration
-	high float64
-	// pressed is set once the bound was reached since the last sample.
-	pressed bool
-	// usual is the smoothed number in flight while streams come in time and the bound
-	// is not reached.
-	usual float64
+	// lateShare is the smoothed share of late streams, from 0 to 1.
+	lateShare float64
+	// lastDecrease is when the limit last decreased, highInFlight the number of streams in flight
+	// before that, at most the limit.
+	lastDecrease time.Duration
+	highInFlight float64
+	// limitReached is set when the limit was reached since the last sample.
+	limitReached bool
+	// usualInFlight is the smoothed number of streams in flight while they are in time and the
+	// limit is not reached.
+	usualInFlight float64
 }
 
 const (
-	// lateWeight is the weight of one more stream.
+	// lateWeight is the weight of one stream in lateShare.
 	lateWeight = 0.1
-	// lateMost is the share of late streams from which the bound falls. What a
-	// lost upstream makes late for a moment is below it.
-	lateMost = 0.35
-	// reached is the part of the bound from which it counts as reached.
-	reached = 0.8
-	// decrease and decreaseEvery: a tenth less each time that streams which started
-	// under the last bound have shown what it does.
-	decrease      = 0.9
-	decreaseEvery = 400 * time.Millisecond
-	// cautious is the part of the bound that was too high last from which it
-	// rises slowly, by increaseSlow with each stream in time, until forget has passed.
-	cautious     = 0.8
-	increaseSlow = 0.5
-	forget       = time.Second
-	// increase and increasePart are by how much the bound rises with each stream
-	// in time while it is reached: one, and a part of the bound, so that it
-	// is back within some lives of a stream after a loss that was made good.
-	increase     = 1.0
-	increasePart = 0.04
-	// leastPart of what is usual, and leastLimit at least, are kept going whatever they
-	// show: lateness may have another cause than load.
-	leastPart  = 0.5
-	leastLimit = 4
-	// firstUsual is taken for usual by a host that has just started.
-	firstUsual = 48
-	// usualWeight is the weight of one more stream in what is usual, calm the share of
-	// late ones up to which it counts.
-	usualWeight = 0.05
-	calm        = 0.05
-	// unbounded is the bound before anything came late.
-	unbounded = 1e6
+	// maxLateShare is the share of late streams above which the limit decreases. The share that
+	// one lost upstream makes late for a moment is below it.
+	maxLateShare = 0.35
+	// reachedFraction is the fraction of the limit from which it counts as reached.
+	reachedFraction = 0.8
+	// decreaseFactor is the factor by which the limit decreases, by a tenth, and
+	// decreaseInterval the least time between two decreases, after which streams that started
+	// under the last limit show its effect.
+	decreaseFactor   = 0.9
+	decreaseInterval = 400 * time.Millisecond
+	// cautiousFraction is the fraction of highInFlight, the number that was too high, above which
+	// the limit increases slowly, by cautiousIncrease with each stream in time, until
+	// cautiousPeriod has passed.
+	cautiousFraction = 0.8
+	cautiousIncrease = 0.5
+	cautiousPeriod   = time.Second
+	// increase and increaseFraction are by how much the limit increases with each stream in time
+	// while it is reached: by one stream and by a fraction of the limit, so that it recovers
+	// within a few stream durations after lost upstreams are replaced.
+	increase         = 1.0
+	increaseFraction = 0.04
+	// minUsualFraction of usualInFlight, and at least minLimit streams, are always allowed,
+	// because streams may be late for other reasons than load.
+	minUsualFraction = 0.5
+	minLimit         = 4
+	// initialUsual is usualInFlight on a host that has just started.
+	initialUsual = 48
+	// usualWeight is the weight of one stream in usualInFlight, maxCalmLateShare the late share
+	// below which streams count for it.
+	usualWeight      = 0.05
+	maxCalmLateShare = 0.05
+	// initialLimit is the limit before any stream was late; it is never reached.
+	initialLimit = 1e6
 )
 
-// Enter takes a place, or reports that there is none.
+// Enter admits a stream, and returns false when the limit is reached. Each admitted stream must
+// Leave.
 func (l *Latency) Enter() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit == 0 {
-		l.limit, l.usual = unbounded, firstUsual
+		l.limit, l.usualInFlight = initialLimit, initialUsual
 	}
 	admitted := float64(l.inFlight) < l.limit
 	if admitted {
 		l.inFlight++
 	}
-	l.pressed = l.pressed || float64(l.inFlight) >= l.limit*reached
+	l.limitReached = l.limitReached || float64(l.inFlight) >= l.limit*reachedFraction
 	return admitted
 }
 
-// Leave gives a place back.
+// Leave ends an admitted stream.
 func (l *Latency) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
 }
 
-// Sample takes in whether a stream kept to the times that callers expect: its
-// first event, and the pauses between events.
+// Sample records whether a stream was late: its first event, or a pause between two events, took
+// longer than callers expect.
 func (l *Latency) Sample(now time.Duration, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	share := 0.0
+	sample := 0.0
 	if late {
-		share = 1
+		sample = 1
 	}
-	l.late += lateWeight * (share - l.late)
-	pressed := l.pressed
-	l.pressed = float64(l.inFlight) >= l.limit*reached
-	if l.late < calm && !pressed {
-		l.usual += usualWeight * (float64(l.inFlight) - l.usual)
+	l.lateShare += lateWeight * (sample - l.lateShare)
+	limitReached := l.limitReached
+	l.limitReached = float64(l.inFlight) >= l.limit*reachedFraction
+	if l.lateShare < maxCalmLateShare && !limitReached {
+		l.usualInFlight += usualWeight * (float64(l.inFlight) - l.usualInFlight)
 	}
 	switch {
-	case l.late > lateMost && now-l.cut > decreaseEvery:
-		l.high = min(l.limit, float64(l.inFlight))
-		l.limit = max(leastLimit, leastPart*l.usual, l.high*decrease)
-		l.cut = now
-	case late || !pressed:
-	case now-l.cut < forget && l.limit > cautious*l.high:
-		l.limit += increaseSlow
+	case l.lateShare > maxLateShare && now-l.lastDecrease > decreaseInterval:
+		l.highInFlight = min(l.limit, float64(l.inFlight))
+		l.limit = max(minLimit, minUsualFraction*l.usualInFlight, l.highInFlight*decreaseFactor)
+		l.lastDecrease = now
+	case late || !limitReached:
+	case now-l.lastDecrease < cautiousPeriod && l.limit > cautiousFraction*l.highInFlight:
+		l.limit += cautiousIncrease
 	default:
-		l.limit += increase + increasePart*l.limit
+		l.limit += increase + increaseFraction*l.limit
 	}
 }
 
-// Limit returns the bound.
+// Limit returns the maximum number of streams in flight.
 func (l *Latency) Limit() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/admitter/limits.go
+++ b/admitter/limits.go
@@ -11,58 +11,67 @@
 	"github.com/sardineward/sardineward/builder"
 )
 
-// floorShare is the part of an even share that every host keeps, so that the
-// first requests of a workspace on a host needn't wait for the others to hear.
-const floorShare = 0.1
+// minShare is the fraction of an even share that every host keeps, so that the first requests of a
+// workspace on a host needn't wait until the other hosts know of them.
+const minShare = 0.1
 
-// Limits keeps each workspace under its request rate over all hosts, with no
-// shared store: a host takes the part of the limit that its own demand is of
-// all demand. Safe for concurrent use.
+// Limits enforces each workspace's request rate over all hosts without a shared store: each host
+// takes the share of the limit that its own demand has in the total demand. It is safe for
+// concurrent use.
 type Limits struct {
-	mu     sync.Mutex
-	list   uint32
-	spaces []*space
-	byName map[string]*space
-	last   time.Time
+	mu sync.Mutex
+	// namesHash identifies the workspaces and their order; demands of other hosts are used only
+	// under the same hash.
+	namesHash uint32
+	// workspaces holds the limited workspaces in the order of the configuration, byName the same.
+	workspaces []*workspaceLimit
+	byName     map[string]*workspaceLimit
+	// measuredAt is when Measure or Configure was last called.
+	measuredAt time.Time
 }
 
-type space struct {
-	name  string
+// workspaceLimit is the limit of one workspace and this host's demand under it.
+type workspaceLimit struct {
+	name string
+	// limit is the requests a second over all hosts.
 	limit float64
-	// asked counts requests since the last Measure; demand is the smoothed
-	// rate.
-	asked   float64
-	demand  float64
+	// requests counts the requests since the last Measure; demand is their smoothed rate a
+	// second.
+	requests float64
+	demand   float64
+	// limiter enforces this host's share.
 	limiter *rate.Limiter
 }
 
-// Configure takes in the workspaces.
-func (l *Limits) Configure(now time.Time, hosts int, list []builder.Workspace) {
+// Configure sets the workspaces and their limits; one without a limit is not limited. A known
+// workspace keeps its share until the next call of Share.
+func (l *Limits) Configure(now time.Time, hosts int, workspaces []builder.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old := l.byName
-	l.byName = make(map[string]*space)
-	l.spaces = nil
+	l.byName = make(map[string]*workspaceLimit)
+	l.workspaces = nil
 	h := xxhash.New()
-	for _, w := range list {
+	for _, w := range workspaces {
 		if w.RequestsPerSecond <= 0 {
 			continue
 		}
 		s := old[w.Name]
 		if s == nil {
-			s = &space{name: w.Name, limiter: newLimiter(w.RequestsPerSecond / float64(max(1, hosts)))}
+			s = &workspaceLimit{name: w.Name, limiter: newLimiter(w.RequestsPerSecond / float64(max(1, hosts)))}
 		}
 		s.limit = w.RequestsPerSecond
 		l.byName[w.Name] = s
-		l.spaces = append(l.spaces, s)
+		l.workspaces = append(l.workspaces, s)
 		h.WriteString(w.Name)
 		h.WriteString("\x00")
 	}
-	l.list = uint32(h.Sum64())
-	l.last = now
+	l.namesHash = uint32(h.Sum64())
+	l.measuredAt = now
 }
 
-// Allow takes one request of a workspace, or tells when to come back.
+// Allow reports whether a request of a workspace may run now. If not, it returns the time after
+// which a retry can succeed.
 func (l *Limits) Allow(now time.Time, workspace string) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +79,7 @@
 	if s == nil {
 		return 0, true
 	}
-	s.asked++
+	s.requests++
 	if s.limiter.AllowN(now, 1) {
 		return 0, true
 	}
@@ -80,40 +89,40 @@
 	return wait, false
 }
 
-// Measure smooths the demand since the last call and returns it with the hash
-// of the list it is ordered by.
-func (l *Limits) Measure(now time.Time) (list uint32, own []float32) {
+// Measure updates the smoothed demands with the requests since the last call. It returns the
+// demands in requests a second, and the hash of the workspace names that they are ordered by.
+func (l *Limits) Measure(now time.Time) (namesHash uint32, demands []float32) {
 	const window = 3.0
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	elapsed := now.Sub(l.last).Seconds()
+	elapsed := now.Sub(l.measuredAt).Seconds()
 	if elapsed <= 0 {
 		elapsed = 1e-3
 	}
-	l.last = now
-	keep := math.Exp(-elapsed / window)
-	own = make([]float32, len(l.spaces))
-	for i, s := range l.spaces {
-		s.demand = s.demand*keep + s.asked/elapsed*(1-keep)
-		s.asked = 0
-		own[i] = float32(s.demand)
+	l.measuredAt = now
+	decay := math.Exp(-elapsed / window)
+	demands = make([]float32, len(l.workspaces))
+	for i, s := range l.workspaces {
+		s.demand = s.demand*decay + s.requests/elapsed*(1-decay)
+		s.requests = 0
+		demands[i] = float32(s.demand)
 	}
-	return l.list, own
+	return l.namesHash, demands
 }
 
-// Share sets this host's part of each limit: its demand over the mean of all
-// hosts, of an even share. mean is nil when nothing is known of the others.
-func (l *Limits) Share(now time.Time, hosts int, list uint32, mean []float32) {
+// Share sets this host's share of each limit: an even share times the ratio of its demand to the
+// mean demand of all hosts. meanDemands is nil when the demands of other hosts are not known.
+func (l *Limits) Share(now time.Time, hosts int, namesHash uint32, meanDemands []float32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := float64(max(1, hosts))
-	for i, s := range l.spaces {
+	hostCount := float64(max(1, hosts))
+	for i, s := range l.workspaces {
 		part := 1.0
-		if list == l.list && i < len(mean) && mean[i] > 0 {
-			part = s.demand / float64(mean[i])
+		if namesHash == l.namesHash && i < len(meanDemands) && meanDemands[i] > 0 {
+			part = s.demand / float64(meanDemands[i])
 		}
-		part = min(max(part, floorShare), n)
-		share := s.limit / n * part
+		part = min(max(part, minShare), hostCount)
+		share := s.limit / hostCount * part
 		s.limiter.SetLimitAt(now, rate.Limit(share))
 		s.limiter.SetBurstAt(now, max(1, int(math.Ceil(share))))
 	}
--- a/admitter/window.go
+++ b/admitter/window.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// Window bounds retries to a part of the requests of the last seconds plus a
-// fixed number, each shared among the hosts. It needs no messages: every host
-// keeps to its part of the fixed number and to the ratio of its own requests,
-// so that all together keep to the whole.
+// Window is a retry budget over a sliding window: all hosts together may make a fraction of the
+// requests in the window as retries, plus a fixed number. It needs no messages between hosts: each
+// one keeps to the ratio of its own requests and to its share of the fixed number, so that the
+// total is kept. It is safe for concurrent use; the exported fields are set before use.
 type Window struct {
-	// Ratio is how many retries a request allows.
+	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// Length is the time over which both are counted, in whole seconds.
+	// Length is the length of the window, in whole seconds.
 	Length time.Duration
-	// Fixed is how many retries all hosts may make beyond the ratio.
+	// Fixed is the number of retries in a window that all hosts together may make beyond the
+	// ratio.
 	Fixed float64
-	// Hosts is how many share Fixed; nil means 1.
+	// Hosts returns the number of hosts that share Fixed; nil means 1.
 	Hosts func() int
 
-	mu     sync.Mutex
-	counts []tally
-	// second is the one that the last of counts holds.
-	second int64
+	mu      sync.Mutex
+	seconds []counts
+	// lastSecond is the time in seconds that the last element of seconds counts.
+	lastSecond int64
 }
 
-type tally struct{ requests, retries float64 }
+// counts holds the requests and retries of one second.
+type counts struct{ requests, retries float64 }
 
-// safety is the part of its share that a host uses. A host that was restarted
-// does not know what it sent before, and windows slide between whole seconds.
-const safety = 0.7
+// safetyFactor is the fraction of its share that a host uses: a restarted host does not know the
+// retries that it made before, and the window slides in steps of whole seconds.
+const safetyFactor = 0.7
 
-// Request counts one request of a caller.
+// Request counts one request of a caller, which is not a retry.
 func (b *Window) Request(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	b.counts[len(b.counts)-1].requests++
+	b.seconds[len(b.seconds)-1].requests++
 }
 
-// Spend takes one retry, or reports that there is none.
+// Spend takes one retry, and returns false when there is none.
 func (b *Window) Spend(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	var sum tally
-	for _, c := range b.counts {
+	var sum counts
+	for _, c := range b.seconds {
 		sum.requests += c.requests
 		sum.retries += c.retries
 	}
@@ -54,29 +56,29 @@
 		hosts = max(1, b.Hosts())
 	}
 	share := b.Fixed / float64(hosts)
-	most := safety * (b.Ratio*sum.requests + share)
+	maxRetries := safetyFactor * (b.Ratio*sum.requests + share)
 	if share >= 1 {
-		// With hundreds of hosts a host that has hardly begun would have no retry at all.
-		most = max(most, 1)
+		// With hundreds of hosts, the share of one that has just started would be below one retry.
+		maxRetries = max(maxRetries, 1)
 	}
-	if sum.retries+1 > most {
+	if sum.retries+1 > maxRetries {
 		return false
 	}
-	b.counts[len(b.counts)-1].retries++
+	b.seconds[len(b.seconds)-1].retries++
 	return true
 }
 
-// advance drops the seconds that are no longer in the window.
+// advance moves the window to now and drops the seconds that left it.
 func (b *Window) advance(now time.Duration) {
 	n := int(b.Length/time.Second) + 1
 	s := int64(now / time.Second)
-	if b.counts == nil || s-b.second >= int64(n) {
-		b.counts = make([]tally, n)
+	if b.seconds == nil || s-b.lastSecond >= int64(n) {
+		b.seconds = make([]counts, n)
 	} else {
-		for ; b.second < s; b.second++ {
-			copy(b.counts, b.counts[1:])
-			b.counts[n-1] = tally{}
+		for ; b.lastSecond < s; b.lastSecond++ {
+			copy(b.seconds, b.seconds[1:])
+			b.seconds[n-1] = counts{}
 		}
 	}
-	b.second = s
+	b.lastSecond = s
 }
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -11,8 +11,9 @@
 	"github.com/sardineward/sardineward/admitter"
 )
 
-// TestWindow guards against retries that each host counts alone.
-func TestWindow(t *testing.T) {
+// TestWindowAcrossHosts guards against hosts that each keep to the retry budget but exceed it
+// together.
+func TestWindowAcrossHosts(t *testing.T) {
 	const (
 		ratio, fixed = 0.2, 200
 		perSecond    = 25
@@ -37,28 +38,29 @@
 		}
 	}
 	requests := float64(hosts * (perSecond / 10) * 100)
-	total := 0
+	maxSum := 0
 	for from := 0; from+100 <= len(sent); from++ {
 		sum := 0
 		for _, n := range sent[from : from+100] {
 			sum += n
 		}
 		is.True(float64(sum) <= ratio*requests+fixed)
-		total = max(total, sum)
+		maxSum = max(maxSum, sum)
 	}
-	t.Logf("%d retries in the fullest ten seconds of %.0f allowed", total, ratio*requests+fixed)
-	is.True(float64(total) > 0.5*(ratio*requests+fixed)) // most of it can be used
+	t.Logf("at most %d retries in ten seconds; %.0f allowed", maxSum, ratio*requests+fixed)
+	is.True(float64(maxSum) > 0.5*(ratio*requests+fixed)) // more than half of the budget is usable
 }
 
-// TestLatencyBound guards against overload in which every stream is late.
-func TestLatencyBound(t *testing.T) {
+// TestLatencyLimit guards against overload in which every stream is late: the limit must keep most
+// of the admitted streams in time.
+func TestLatencyLimit(t *testing.T) {
 	is := is.New(t)
-	const bears = 60 // streams in flight until which events come in time
+	const capacity = 60 // streams are in time while at most this many are in flight
 	l := new(admitter.Latency)
 	type stream struct{ ends time.Duration }
 	var open []stream
 	late, done, refused := 0, 0, 0
-	play := func(from, to time.Duration, perSecond int) {
+	simulate := func(from, to time.Duration, perSecond int) {
 		late, done, refused = 0, 0, 0
 		step := time.Second / time.Duration(perSecond)
 		for now := from; now < to; now += step {
@@ -70,7 +72,7 @@
 				}
 				l.Leave()
 				done++
-				slow := len(open) > bears
+				slow := len(open) > capacity
 				if slow {
 					late++
 				}
@@ -84,27 +86,27 @@
 			}
 		}
 	}
-	play(0, 10*time.Second, 20)
+	simulate(0, 10*time.Second, 20)
 	is.Equal(refused, 0)
-	play(10*time.Second, 20*time.Second, 80)
-	play(20*time.Second, 40*time.Second, 80)
-	t.Logf("fourfold: %d done, %d late, %d refused", done, late, refused)
-	is.True(late*3 < done) // most of what is let in comes in time
-	is.True(done > 200)    // and the engine is kept busy
-	play(40*time.Second, 45*time.Second, 20)
-	play(45*time.Second, 50*time.Second, 20)
+	simulate(10*time.Second, 20*time.Second, 80)
+	simulate(20*time.Second, 40*time.Second, 80)
+	t.Logf("at four times the load: %d done, %d late, %d refused", done, late, refused)
+	is.True(late*3 < done) // less than a third of the admitted streams is late
+	is.True(done > 200)    // the engine stays busy
+	simulate(40*time.Second, 45*time.Second, 20)
+	simulate(45*time.Second, 50*time.Second, 20)
 	is.Equal(refused, 0)
 }
 
-// TestLatencyBoundOfMany guards against hosts that each keep so many streams going,
-// whatever these show, that together they overload what a loss has left.
-func TestLatencyBoundOfMany(t *testing.T) {
+// TestLatencyLimitManyHosts guards against minimum limits of many hosts that together overload the
+// upstreams which remain after a loss.
+func TestLatencyLimitManyHosts(t *testing.T) {
 	for _, size := range []struct{ hosts, arrivals int }{{4, 63}, {25, 179}, {119, 456}} {
 		t.Run(strconv.Itoa(size.hosts), func(t *testing.T) {
 			is := is.New(t)
-			const life, seconds = 3 * time.Second, 20
-			hosts, arrivals := size.hosts, time.Duration(size.arrivals) // a second, of all hosts
-			usual := float64(arrivals) * life.Seconds()
+			const lifetime, seconds = 3 * time.Second, 20
+			hosts, arrivals := size.hosts, time.Duration(size.arrivals) // arrivals a second over all hosts
+			usual := float64(arrivals) * lifetime.Seconds()
 			limits := make([]*admitter.Latency, hosts)
 			for i := range limits {
 				limits[i] = new(admitter.Latency)
@@ -116,7 +118,7 @@
 			var open []stream
 			late, done, refused := 0, 0, 0
 			rnd := rand.New(rand.NewPCG(1, 1))
-			play := func(from, to time.Duration, bears float64) {
+			simulate := func(from, to time.Duration, capacity float64) {
 				late, done, refused = 0, 0, 0
 				for now := from; now < to; now += time.Second / arrivals {
 					kept := open[:0]
@@ -127,7 +129,7 @@
 						}
 						limits[s.host].Leave()
 						done++
-						slow := float64(len(open)) > bears
+						slow := float64(len(open)) > capacity
 						if slow {
 							late++
 						}
@@ -136,29 +138,29 @@
 					open = kept
 					i := rnd.IntN(hosts)
 					if limits[i].Enter() {
-						open = append(open, stream{i, now + life/2 + time.Duration(rnd.Float64()*float64(life))})
+						open = append(open, stream{i, now + lifetime/2 + time.Duration(rnd.Float64()*float64(lifetime))})
 					} else {
 						refused++
 					}
 				}
 			}
-			play(0, seconds*time.Second, 1.5*usual)
+			simulate(0, seconds*time.Second, 1.5*usual)
 			is.Equal(refused, 0)
-			play(seconds*time.Second, 2*seconds*time.Second, 0.6*usual)
-			play(2*seconds*time.Second, 3*seconds*time.Second, 0.6*usual)
+			simulate(seconds*time.Second, 2*seconds*time.Second, 0.6*usual)
+			simulate(2*seconds*time.Second, 3*seconds*time.Second, 0.6*usual)
 			t.Logf("%d done, %d late, %d refused", done, late, refused)
 			is.True(late*2 < done)
-			is.True(float64(done) > 0.4*float64(arrivals*seconds)) // of 0.6 that are borne
-			play(3*seconds*time.Second, 4*seconds*time.Second, 1.5*usual)
-			play(4*seconds*time.Second, 5*seconds*time.Second, 1.5*usual)
-			t.Logf("usual arrivals again: %d done, %d refused", done, refused)
+			is.True(float64(done) > 0.4*float64(arrivals*seconds)) // the remaining capacity is 0.6 of the arrivals
+			simulate(3*seconds*time.Second, 4*seconds*time.Second, 1.5*usual)
+			simulate(4*seconds*time.Second, 5*seconds*time.Second, 1.5*usual)
+			t.Logf("after recovery: %d done, %d refused", done, refused)
 			is.True(refused*50 < done)
 		})
 	}
 }
 
-// TestWindowManyHosts guards against a host of hundreds that cuts its first stream, since
-// its share of the retries is below one.
+// TestWindowManyHosts guards against a host that aborts its first interrupted stream because its
+// share of the retries, among hundreds of hosts, is below one.
 func TestWindowManyHosts(t *testing.T) {
 	is := is.New(t)
 	w := admitter.Window{Ratio: 0.2, Length: 10 * time.Second, Fixed: 310, Hosts: func() int { return 300 }}
@@ -167,5 +169,5 @@
 	is.True(!w.Spend(time.Second))
 	few := admitter.Window{Ratio: 0.2, Length: 10 * time.Second, Fixed: 299, Hosts: func() int { return 300 }}
 	few.Request(time.Second)
-	is.True(!few.Spend(time.Second)) // all of them together would have more than there are
+	is.True(!few.Spend(time.Second)) // 300 hosts with one retry each would exceed the 299 allowed
 }
