--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -146,21 +146,21 @@
 // is called with the admitter's lock held, so that slots are granted in order.
 func (a *Admitter[T]) Acquire(ctx context.Context, now time.Time, tk Ticket, try func() (T, bool)) (T, *Refusal) {
 	var none T
-	w, place, refusal := a.admitOrQueue(now, tk, try)
+	w, slot, refusal := a.admitOrQueue(now, tk, try)
 	if w == nil {
-		return place, refusal
+		return slot, refusal
 	}
 	timer := time.NewTimer(tk.Deadline.Add(-tk.Service).Sub(now))
 	defer timer.Stop()
 	select {
-	case place = <-w.slot:
-		return place, nil
+	case slot = <-w.slot:
+		return slot, nil
 	case <-ctx.Done():
 	case <-timer.C:
 	}
 	refusal = abandonedRefusal(ctx)
-	if place, ok := a.dequeue(tk.Group, w); ok {
-		return place, nil
+	if slot, ok := a.dequeue(tk.Group, w); ok {
+		return slot, nil
 	}
 	refusal.RetryAfter = a.RetryAfter(tk.Group)
 	return none, refusal
@@ -184,21 +184,21 @@
 	g := a.group(tk.Group)
 	w := &waiter[T]{ticket: tk, try: try, slot: make(chan T, 1), arrivedAt: now, fairKey: a.fairnessKey(tk)}
 	if len(g.waiting) == 0 || before(w, g.waiting[0]) {
-		if place, ok := try(); ok {
+		if slot, ok := try(); ok {
 			a.recordGrant(now, g, w)
-			return nil, place, nil
+			return nil, slot, nil
 		}
 	}
 	if a.waitingTotal >= a.Queued {
 		return nil, none, &Refusal{Reason: ReasonQueueFull, NotRun: true, RetryAfter: g.waitFor(len(g.waiting))}
 	}
-	at := g.position(w)
-	if wait := g.waitFor(at); now.Add(wait + tk.Service).After(tk.Deadline) {
+	index := g.position(w)
+	if wait := g.waitFor(index); now.Add(wait + tk.Service).After(tk.Deadline) {
 		return nil, none, &Refusal{Reason: ReasonDeadline, NotRun: true, RetryAfter: max(wait, time.Second), Detail: "expected wait is past the deadline"}
 	}
 	g.waiting = append(g.waiting, nil)
-	copy(g.waiting[at+1:], g.waiting[at:])
-	g.waiting[at] = w
+	copy(g.waiting[index+1:], g.waiting[index:])
+	g.waiting[index] = w
 	a.waitingTotal++
 	return w, none, nil
 }
@@ -209,8 +209,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	select {
-	case place := <-w.slot:
-		return place, true
+	case slot := <-w.slot:
+		return slot, true
 	default:
 	}
 	g := a.group(name)
@@ -235,14 +235,14 @@
 	}
 	for len(g.waiting) > 0 {
 		w := g.waiting[0]
-		place, ok := w.try()
+		slot, ok := w.try()
 		if !ok {
 			return
 		}
 		g.waiting = g.waiting[1:]
 		a.waitingTotal--
 		a.recordGrant(now, g, w)
-		w.slot <- place
+		w.slot <- slot
 	}
 }
 
@@ -319,11 +319,11 @@
 
 // recordGrant updates the grant rate, smoothed over about the last two seconds.
 func (g *group[T]) recordGrant(now time.Time) {
-	const window = 2.0
+	const smoothingSeconds = 2.0
 	if !g.lastGrant.IsZero() {
-		g.grantRate *= math.Exp(-now.Sub(g.lastGrant).Seconds() / window)
+		g.grantRate *= math.Exp(-now.Sub(g.lastGrant).Seconds() / smoothingSeconds)
 	}
-	g.grantRate += 1 / window
+	g.grantRate += 1 / smoothingSeconds
 	g.lastGrant = now
 }
 
--- a/admitter/limits.go
+++ b/admitter/limits.go
@@ -92,7 +92,7 @@
 // Measure updates the smoothed demands with the requests since the last call. It returns the
 // demands in requests a second, and the hash of the workspace names that they are ordered by.
 func (l *Limits) Measure(now time.Time) (namesHash uint32, demands []float32) {
-	const window = 3.0
+	const smoothingSeconds = 3.0
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	elapsed := now.Sub(l.measuredAt).Seconds()
@@ -100,7 +100,7 @@
 		elapsed = 1e-3
 	}
 	l.measuredAt = now
-	decay := math.Exp(-elapsed / window)
+	decay := math.Exp(-elapsed / smoothingSeconds)
 	demands = make([]float32, len(l.workspaces))
 	for i, s := range l.workspaces {
 		s.demand = s.demand*decay + s.requests/elapsed*(1-decay)
@@ -117,12 +117,12 @@
 	defer l.mu.Unlock()
 	hostCount := float64(max(1, hosts))
 	for i, s := range l.workspaces {
-		part := 1.0
+		ratio := 1.0
 		if namesHash == l.namesHash && i < len(meanDemands) && meanDemands[i] > 0 {
-			part = s.demand / float64(meanDemands[i])
+			ratio = s.demand / float64(meanDemands[i])
 		}
-		part = min(max(part, minShare), hostCount)
-		share := s.limit / hostCount * part
+		ratio = min(max(ratio, minShare), hostCount)
+		share := s.limit / hostCount * ratio
 		s.limiter.SetLimitAt(now, rate.Limit(share))
 		s.limiter.SetBurstAt(now, max(1, int(math.Ceil(share))))
 	}
