--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -288,12 +288,12 @@
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	k.Meter.Refusals.WithLabelValues(reason.String()).Inc()
-	line := k.Log.Info().Str("requestId", k.id).Str("path", k.r.URL.Path).Stringer("reason", reason).Int("status", code).
+	event := k.Log.Info().Str("requestId", k.id).Str("path", k.r.URL.Path).Stringer("reason", reason).Int("status", code).
 		Int("runs", k.runs).Int("turned", k.rejected).Strs("avoid", k.avoid).Dur("age", k.Tables.Age())
 	if k.deadline > 0 {
-		line.Dur("left", k.deadline-k.Now())
+		event.Dur("left", k.deadline-k.Now())
 	}
-	line.Msg("forwarder: refused: " + detail)
+	event.Msg("forwarder: refused: " + detail)
 	k.headerSent = true
 	k.w.WriteHeader(code)
 	_, _ = io.WriteString(k.w, reason.String()+": "+detail+"\n")
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -151,19 +151,19 @@
 	if !misdirected && resp.Header.Get(k.Headers.NotRun) == "" {
 		return verdictAnswered, false
 	}
-	id, at := l.First.ID, resp.Header.Get(k.Headers.Fault)
-	if at != "" {
+	id, faultAddress := l.First.ID, resp.Header.Get(k.Headers.Fault)
+	if faultAddress != "" {
 		// Several upstreams may be listed at one address; the one on the path is meant.
 		for _, h := range k.Balancer.Path(l) {
-			if h.Address == at {
+			if h.Address == faultAddress {
 				id = h.ID
 			}
 		}
 	}
 	k.avoid = append(k.avoid, id)
-	if misdirected || (at != "" && k.Now()-sent > minHopFailureDelay) {
+	if misdirected || (faultAddress != "" && k.Now()-sent > minHopFailureDelay) {
 		k.Balancer.Out(k.Now(), id)
-	} else if at != "" {
+	} else if faultAddress != "" {
 		k.Balancer.Turned(k.Now(), id)
 	} else if load := parseLoad(resp.Header.Get(k.Headers.Load)); load != nil {
 		k.Balancer.Served(k.Now(), id, load)
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -29,7 +29,7 @@
 	ctl := http.NewResponseController(k.w)
 	buf := make([]byte, readBufferSize)
 	var pending []byte
-	at := progress{lastEvent: a.sentAt}
+	delivered := progress{lastEvent: a.sentAt}
 	for {
 		n, err := resp.Read(buf)
 		pending = append(pending, buf[:n]...)
@@ -45,12 +45,12 @@
 			if err := ctl.Flush(); err != nil {
 				return k.abortForCaller()
 			}
-			k.recordEvents(a, &at)
+			k.recordEvents(a, &delivered)
 		}
 		pending = append(pending[:0], rest...)
 		switch {
-		case errors.Is(err, io.EOF) && len(pending) == 0 && at.begun:
-			k.recordCompletion(a, at.longestGap)
+		case errors.Is(err, io.EOF) && len(pending) == 0 && delivered.begun:
+			k.recordCompletion(a, delivered.longestGap)
 			return verdictAnswered
 		case err != nil:
 			k.recordBreak(ctx, a.lease, err)
@@ -62,12 +62,12 @@
 // recordEvents records that events were written just now: the upstreams of the path are alive, and
 // the stream is in time or late. The timing of a stream whose path was changed is ignored, as it
 // says nothing about load.
-func (k *call) recordEvents(a *attempt, at *progress) {
+func (k *call) recordEvents(a *attempt, delivered *progress) {
 	now := k.Now()
 	a.lastEvent.Store(int64(now))
 	k.lastContact.Store(int64(now))
 	repathed := a.repaths.Load() > 0
-	if !at.begun {
+	if !delivered.begun {
 		k.firstEventLatency = now - k.arrivedAt
 		k.Meter.FirstToken.Observe(k.firstEventLatency.Seconds())
 		if !repathed {
@@ -81,12 +81,12 @@
 		}
 		k.Balancer.Begun(now, a.lease)
 		a.begun.Store(true)
-		at.begun, at.lastEvent = true, now
+		delivered.begun, delivered.lastEvent = true, now
 		return
 	}
 	k.Balancer.Progress(now, a.lease)
-	pause := now - at.lastEvent
-	at.longestGap, at.lastEvent = max(at.longestGap, pause), now
+	pause := now - delivered.lastEvent
+	delivered.longestGap, delivered.lastEvent = max(delivered.longestGap, pause), now
 	if !repathed && k.route.Gap > 0 && pause > k.route.Gap {
 		k.sampleLatency(now, true)
 	}
