--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -11,9 +11,9 @@
 	"github.com/sardineward/sardineward/admitter"
 )
 
-// TestWindowAcrossHosts guards against hosts that each keep to the retry budget but exceed it
+// TestWindow guards against hosts that each keep to the retry budget but exceed it
 // together.
-func TestWindowAcrossHosts(t *testing.T) {
+func TestWindow(t *testing.T) {
 	const (
 		ratio, fixed = 0.2, 200
 		perSecond    = 25
