--- a/router/router.go
+++ b/router/router.go
@@ -55,7 +55,7 @@
 	Admitter   *admitter.Admitter[picker.Route]
 	Limits     *admitter.Limits
 	Budget     *admitter.Budget
-	News       News
+	Announcer  News
 	Meter      *meter.Meter
 	Checker    *checker.Checker
 
@@ -203,7 +203,7 @@
 	for _, s := range r.Suspects.Of(now, fingerprint) {
 		s.Cleared = true
 		r.Suspects.Add(s)
-		r.News.Strike(s)
+		r.Announcer.Strike(s)
 	}
 }
 
@@ -218,7 +218,7 @@
 	case streamer.CauseLeaving:
 		inc := r.Tracker.Incarnation(f.Upstream)
 		if r.Tracker.Leave(f.Upstream, inc) {
-			r.News.Leaving(f.Upstream, inc)
+			r.Announcer.Leaving(f.Upstream, inc)
 		}
 	case streamer.CauseNotLoaded, streamer.CauseLayers, streamer.CauseGap:
 		if f.Upstream != "" {
@@ -241,13 +241,13 @@
 	for _, fp := range r.Tracker.Struck(upstream) {
 		s := tracker.NewStrike(now, fp, upstream, inc)
 		r.Suspects.Add(s)
-		r.News.Strike(s)
+		r.Announcer.Strike(s)
 	}
 	r.markDown(now, upstream)
 	// Probing others in the data centre tells a request that crashes engines, where the others
 	// still answer, from a rack that lost its power, where they do not.
 	const maxProbed = 6
-	r.News.Doubt(r.Tracker.Beside(upstream, maxProbed))
+	r.Announcer.Doubt(r.Tracker.Beside(upstream, maxProbed))
 }
 
 // Lost records that a call to an instance of a plain service failed.
@@ -257,8 +257,8 @@
 
 func (r *Router) markDown(now time.Time, upstream string) {
 	if r.Tracker.Bad(now, upstream, true) {
-		r.News.Down(upstream, r.Tracker.Incarnation(upstream), true)
-		r.News.Doubt([]string{upstream})
+		r.Announcer.Down(upstream, r.Tracker.Incarnation(upstream), true)
+		r.Announcer.Doubt([]string{upstream})
 	}
 }
 
@@ -327,13 +327,13 @@
 
 // Doubt implements streamer.Router.
 func (r *Router) Doubt(ctx context.Context, stages []streamer.Stage) string {
-	return r.News.Ask(ctx, upstreamsOf(stages))
+	return r.Announcer.Ask(ctx, upstreamsOf(stages))
 }
 
 // Report implements streamer.Router.
 func (r *Router) Report(upstream string, load tracker.Load) {
 	if r.Tracker.Report(time.Now(), upstream, load) && load.Leaving {
-		r.News.Leaving(upstream, load.Incarnation)
+		r.Announcer.Leaving(upstream, load.Incarnation)
 	}
 }
 
--- a/runner/build.go
+++ b/runner/build.go
@@ -140,7 +140,7 @@
 		Admitter:   h.admit,
 		Limits:     h.limits,
 		Budget:     &admitter.Budget{Ratio: retryRatio, Burst: retryBurst},
-		News:       news{h},
+		Announcer:  news{h},
 		Meter:      h.meter,
 		Checker:    h.Checker,
 	}
