--- a/router/router.go
+++ b/router/router.go
@@ -33,8 +33,8 @@
 // News announces to other hosts what this host observed of upstreams, and probes upstreams that
 // may be down.
 type News interface {
-	// Leaving announces that an upstream takes no new work in the given incarnation.
-	Leaving(upstream string, incarnation int64)
+	// AnnounceLeaving announces that an upstream takes no new work in the given incarnation.
+	AnnounceLeaving(upstream string, incarnation int64)
 	// Down announces that an upstream does not answer, or with down false that it answers again.
 	Down(upstream string, incarnation int64, down bool)
 	// Strike announces a crash of an upstream together with a request that was in flight on it.
@@ -218,7 +218,7 @@
 	case streamer.CauseLeaving:
 		inc := r.Tracker.Incarnation(f.Upstream)
 		if r.Tracker.Leave(f.Upstream, inc) {
-			r.Announcer.Leaving(f.Upstream, inc)
+			r.Announcer.AnnounceLeaving(f.Upstream, inc)
 		}
 	case streamer.CauseNotLoaded, streamer.CauseLayers, streamer.CauseGap:
 		if f.Upstream != "" {
@@ -333,7 +333,7 @@
 // Report implements streamer.Router.
 func (r *Router) Report(upstream string, load tracker.Load) {
 	if r.Tracker.Report(time.Now(), upstream, load) && load.Leaving {
-		r.Announcer.Leaving(upstream, load.Incarnation)
+		r.Announcer.AnnounceLeaving(upstream, load.Incarnation)
 	}
 }
 
