--- a/runner/build.go
+++ b/runner/build.go
@@ -187,7 +187,7 @@
 		Tracker:    h.track,
 		Owns:       func(key string, n int) bool { return h.gossip.Owns(key, cfg.DataCentre, n) },
 		DataCentre: cfg.DataCentre,
-		OnLeaving:  n.Leaving,
+		OnLeaving:  n.AnnounceLeaving,
 		OnDown:     n.Down,
 		Wake:       func() { h.admit.WakeAll(time.Now()) },
 		Period:     ms(cfg.Timing.ProbeMs),
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -193,7 +193,7 @@
 	}
 	inc := h.track.Incarnation(name)
 	h.track.Leave(name, inc)
-	news{h}.Leaving(name, inc)
+	news{h}.AnnounceLeaving(name, inc)
 	h.Log.Info().Str("upstream", name).Int64("incarnation", inc).Msg("runner: upstream drained by an operator")
 	return c.JSON(http.StatusOK, struct{}{})
 }
--- a/runner/news.go
+++ b/runner/news.go
@@ -17,8 +17,8 @@
 // news tells other hosts what this one saw.
 type news struct{ *Host }
 
-// Leaving implements router.News.
-func (n news) Leaving(upstream string, incarnation int64) {
+// AnnounceLeaving implements router.News.
+func (n news) AnnounceLeaving(upstream string, incarnation int64) {
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_LEAVING, Key: upstream, Incarnation: incarnation, State: 1})
 }
 
