--- a/router/router.go
+++ b/router/router.go
@@ -35,8 +35,8 @@
 type News interface {
 	// AnnounceLeaving announces that an upstream takes no new work in the given incarnation.
 	AnnounceLeaving(upstream string, incarnation int64)
-	// Down announces that an upstream does not answer, or with down false that it answers again.
-	Down(upstream string, incarnation int64, down bool)
+	// AnnounceDown announces that an upstream does not answer, or with down false that it answers again.
+	AnnounceDown(upstream string, incarnation int64, down bool)
 	// Strike announces a crash of an upstream together with a request that was in flight on it.
 	Strike(s tracker.Strike)
 	// Doubt schedules a probe of each upstream now and does not wait for the results.
@@ -257,7 +257,7 @@
 
 func (r *Router) markDown(now time.Time, upstream string) {
 	if r.Tracker.Bad(now, upstream, true) {
-		r.Announcer.Down(upstream, r.Tracker.Incarnation(upstream), true)
+		r.Announcer.AnnounceDown(upstream, r.Tracker.Incarnation(upstream), true)
 		r.Announcer.Doubt([]string{upstream})
 	}
 }
