--- a/runner/build.go
+++ b/runner/build.go
@@ -188,7 +188,7 @@
 		Owns:       func(key string, n int) bool { return h.gossip.Owns(key, cfg.DataCentre, n) },
 		DataCentre: cfg.DataCentre,
 		OnLeaving:  n.AnnounceLeaving,
-		OnDown:     n.Down,
+		OnDown:     n.AnnounceDown,
 		Wake:       func() { h.admit.WakeAll(time.Now()) },
 		Period:     ms(cfg.Timing.ProbeMs),
 		Log:        h.Log,
--- a/runner/news.go
+++ b/runner/news.go
@@ -22,10 +22,10 @@
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_LEAVING, Key: upstream, Incarnation: incarnation, State: 1})
 }
 
-// Down implements router.News. Only an upstream's own probers speak for it: a
+// AnnounceDown implements router.News. Only an upstream's own probers speak for it: a
 // host that merely can't reach it, over a cut link, would set all others
 // against what they see.
-func (n news) Down(upstream string, incarnation int64, down bool) {
+func (n news) AnnounceDown(upstream string, incarnation int64, down bool) {
 	u, ok := n.track.Upstream(upstream)
 	if !ok || u.DataCentre != n.Settings.DataCentre || !n.probe.Owns("probe/"+upstream, prober.Probers) {
 		return
