--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -138,9 +138,9 @@
 	fleet   *faker.Fleet
 }
 
-func (probeOnlyAnnouncer) AnnounceLeaving(string, int64) {}
-func (probeOnlyAnnouncer) Down(string, int64, bool)      {}
-func (probeOnlyAnnouncer) Strike(tracker.Strike)         {}
+func (probeOnlyAnnouncer) AnnounceLeaving(string, int64)    {}
+func (probeOnlyAnnouncer) AnnounceDown(string, int64, bool) {}
+func (probeOnlyAnnouncer) Strike(tracker.Strike)            {}
 
 // Doubt applies the result of a probe to the tracker after the time that a probe takes.
 func (q probeOnlyAnnouncer) Doubt(names []string) {
