--- a/router/router.go
+++ b/router/router.go
@@ -37,8 +37,8 @@
 	AnnounceLeaving(upstream string, incarnation int64)
 	// AnnounceDown announces that an upstream does not answer, or with down false that it answers again.
 	AnnounceDown(upstream string, incarnation int64, down bool)
-	// Strike announces a crash of an upstream together with a request that was in flight on it.
-	Strike(s tracker.Strike)
+	// AnnounceStrike announces a crash of an upstream together with a request that was in flight on it.
+	AnnounceStrike(s tracker.Strike)
 	// Doubt schedules a probe of each upstream now and does not wait for the results.
 	Doubt(upstreams []string)
 	// Ask probes the upstreams, waits, and returns one that does not answer; empty means that all
@@ -203,7 +203,7 @@
 	for _, s := range r.Suspects.Of(now, fingerprint) {
 		s.Cleared = true
 		r.Suspects.Add(s)
-		r.Announcer.Strike(s)
+		r.Announcer.AnnounceStrike(s)
 	}
 }
 
@@ -241,7 +241,7 @@
 	for _, fp := range r.Tracker.Struck(upstream) {
 		s := tracker.NewStrike(now, fp, upstream, inc)
 		r.Suspects.Add(s)
-		r.Announcer.Strike(s)
+		r.Announcer.AnnounceStrike(s)
 	}
 	r.markDown(now, upstream)
 	// Probing others in the data centre tells a request that crashes engines, where the others
