--- a/runner/news.go
+++ b/runner/news.go
@@ -45,8 +45,8 @@
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_UPSTREAM, Key: upstream, Incarnation: incarnation, State: state})
 }
 
-// Strike implements router.News.
-func (n news) Strike(s tracker.Strike) {
+// AnnounceStrike implements router.News.
+func (n news) AnnounceStrike(s tracker.Strike) {
 	it := &peer.Item{Kind: peer.ItemKind_ITEM_KIND_STRIKE, Key: s.Key(), State: 1, Expires: s.Expires.UnixMilli()}
 	if s.Cleared {
 		it.State = 2
