--- a/router/router.go
+++ b/router/router.go
@@ -39,8 +39,8 @@
 	AnnounceDown(upstream string, incarnation int64, down bool)
 	// AnnounceStrike announces a crash of an upstream together with a request that was in flight on it.
 	AnnounceStrike(s tracker.Strike)
-	// Doubt schedules a probe of each upstream now and does not wait for the results.
-	Doubt(upstreams []string)
+	// ProbeSoon schedules a probe of each upstream now and does not wait for the results.
+	ProbeSoon(upstreams []string)
 	// Ask probes the upstreams, waits, and returns one that does not answer; empty means that all
 	// of them answer.
 	Ask(ctx context.Context, upstreams []string) string
@@ -247,7 +247,7 @@
 	// Probing others in the data centre tells a request that crashes engines, where the others
 	// still answer, from a rack that lost its power, where they do not.
 	const maxProbed = 6
-	r.Announcer.Doubt(r.Tracker.Beside(upstream, maxProbed))
+	r.Announcer.ProbeSoon(r.Tracker.Beside(upstream, maxProbed))
 }
 
 // Lost records that a call to an instance of a plain service failed.
@@ -258,7 +258,7 @@
 func (r *Router) markDown(now time.Time, upstream string) {
 	if r.Tracker.Bad(now, upstream, true) {
 		r.Announcer.AnnounceDown(upstream, r.Tracker.Incarnation(upstream), true)
-		r.Announcer.Doubt([]string{upstream})
+		r.Announcer.ProbeSoon([]string{upstream})
 	}
 }
 
