--- a/runner/news.go
+++ b/runner/news.go
@@ -54,8 +54,8 @@
 	n.gossip.Publish(true, it)
 }
 
-// Doubt implements router.News.
-func (n news) Doubt(upstreams []string) { n.probe.Doubt(upstreams) }
+// ProbeSoon implements router.News.
+func (n news) ProbeSoon(upstreams []string) { n.probe.Doubt(upstreams) }
 
 // Ask implements router.News. A probe is given as long as a stall takes to
 // show, twice the round trip at the least.
