--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -142,8 +142,8 @@
 func (probeOnlyAnnouncer) AnnounceDown(string, int64, bool) {}
 func (probeOnlyAnnouncer) AnnounceStrike(tracker.Strike)    {}
 
-// Doubt applies the result of a probe to the tracker after the time that a probe takes.
-func (q probeOnlyAnnouncer) Doubt(names []string) {
+// ProbeSoon applies the result of a probe to the tracker after the time that a probe takes.
+func (q probeOnlyAnnouncer) ProbeSoon(names []string) {
 	for _, n := range names {
 		go func() {
 			const probeTime = 50 * time.Millisecond
