--- a/router/router.go
+++ b/router/router.go
@@ -41,9 +41,9 @@
 	AnnounceStrike(s tracker.Strike)
 	// ProbeSoon schedules a probe of each upstream now and does not wait for the results.
 	ProbeSoon(upstreams []string)
-	// Ask probes the upstreams, waits, and returns one that does not answer; empty means that all
+	// FindUnresponsive probes the upstreams, waits, and returns one that does not answer; empty means that all
 	// of them answer.
-	Ask(ctx context.Context, upstreams []string) string
+	FindUnresponsive(ctx context.Context, upstreams []string) string
 }
 
 // Router chooses the route of each attempt of a request, and decides on retries and refusals.
@@ -327,7 +327,7 @@
 
 // Doubt implements streamer.Router.
 func (r *Router) Doubt(ctx context.Context, stages []streamer.Stage) string {
-	return r.Announcer.Ask(ctx, upstreamsOf(stages))
+	return r.Announcer.FindUnresponsive(ctx, upstreamsOf(stages))
 }
 
 // Report implements streamer.Router.
