--- a/runner/news.go
+++ b/runner/news.go
@@ -57,9 +57,9 @@
 // ProbeSoon implements router.News.
 func (n news) ProbeSoon(upstreams []string) { n.probe.Doubt(upstreams) }
 
-// Ask implements router.News. A probe is given as long as a stall takes to
+// FindUnresponsive implements router.News. A probe is given as long as a stall takes to
 // show, twice the round trip at the least.
-func (n news) Ask(ctx context.Context, upstreams []string) string {
+func (n news) FindUnresponsive(ctx context.Context, upstreams []string) string {
 	ctx, cancel := context.WithTimeout(ctx, ms(n.Settings.Timing.StallFloorMs))
 	defer cancel()
 	return n.probe.Ask(ctx, upstreams)
