--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// Ask takes as long as a probe that is answered or times out.
-func (q probeOnlyAnnouncer) Ask(_ context.Context, names []string) string {
+// FindUnresponsive takes as long as a probe that is answered or times out.
+func (q probeOnlyAnnouncer) FindUnresponsive(_ context.Context, names []string) string {
 	const probeTime, probeTimeout = 2 * time.Millisecond, 100 * time.Millisecond
 	time.Sleep(probeTime)
 	for _, n := range names {
