--- a/router/router.go
+++ b/router/router.go
@@ -250,8 +250,8 @@
 	r.Announcer.ProbeSoon(r.Tracker.Beside(upstream, maxProbed))
 }
 
-// Lost records that a call to an instance of a plain service failed.
-func (r *Router) Lost(instance string, cause streamer.Cause) {
+// RecordInstanceFailure records that a call to an instance of a plain service failed.
+func (r *Router) RecordInstanceFailure(instance string, cause streamer.Cause) {
 	r.recordFailure(time.Now(), &streamer.Failure{Cause: cause, Upstream: instance})
 }
 
--- a/server/services.go
+++ b/server/services.go
@@ -98,7 +98,7 @@
 
 func (p *passage) leave(instance, flight string, cause streamer.Cause) {
 	if cause != streamer.CauseNone {
-		p.Router.Lost(instance, cause)
+		p.Router.RecordInstanceFailure(instance, cause)
 	}
 	p.Router.Tracker.Release(time.Now(), []string{instance}, flight)
 	p.Router.Admitter.Wake(time.Now(), p.group())
