--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -325,7 +325,7 @@
 		return nil
 	})
 	if err == nil {
-		host.router.Answered(job, res.Tokens, lastAt.Sub(firstAt))
+		host.router.RecordAnswer(job, res.Tokens, lastAt.Sub(firstAt))
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/router/router.go
+++ b/router/router.go
@@ -337,9 +337,9 @@
 	}
 }
 
-// Answered adds a complete answer to the pipeline's averages. took is the time from the first
+// RecordAnswer adds a complete answer to the pipeline's averages. took is the time from the first
 // token to the last.
-func (r *Router) Answered(job *streamer.Job, tokens int, took time.Duration) {
+func (r *Router) RecordAnswer(job *streamer.Job, tokens int, took time.Duration) {
 	const weight = 0.05
 	fraction := float64(tokens) / float64(job.MaxTokens)
 	gap := took / time.Duration(max(1, tokens))
--- a/server/completions.go
+++ b/server/completions.go
@@ -147,7 +147,7 @@
 		return err
 	}
 	took := time.Since(begun)
-	k.Router.Answered(job, res.Tokens, took)
+	k.Router.RecordAnswer(job, res.Tokens, took)
 	k.Meter.Requests.WithLabelValues(job.Workspace, "generation").Inc()
 	if n := res.Tokens; n > 1 {
 		k.Meter.Gap.Observe(took.Seconds() / float64(n-1))
