--- a/router/router.go
+++ b/router/router.go
@@ -357,11 +357,11 @@
 	h.tokenGap += time.Duration(weight * float64(gap-h.tokenGap))
 }
 
-// Refused converts an error that ended a request into a refusal, counts it, and asserts that a
+// Refuse converts an error that ended a request into a refusal, counts it, and asserts that a
 // refusal marked as not run is right. started is whether an upstream may have started the request
 // according to the code that sent it, w is the same according to the clients of upstreams; w is nil
 // when the request did not get that far.
-func (r *Router) Refused(requestID string, err error, started bool, w *checker.Witness) *admitter.Refusal {
+func (r *Router) Refuse(requestID string, err error, started bool, w *checker.Witness) *admitter.Refusal {
 	var refusal *admitter.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = &admitter.Refusal{Reason: admitter.ReasonUpstream, RetryAfter: retryAfter, Detail: err.Error()}
--- a/server/server.go
+++ b/server/server.go
@@ -250,7 +250,7 @@
 
 // refuse sends the final answer of a request that was not answered.
 func (k *call) refuse(err error) {
-	out := k.Router.Refused(k.id, err, k.started, k.witness)
+	out := k.Router.Refuse(k.id, err, k.started, k.witness)
 	body := ErrorBody{ErrorDetail{
 		Code:       statusOf(out.Reason),
 		Reason:     out.Reason.String(),
