--- a/balancer/path.go
+++ b/balancer/path.go
@@ -78,12 +78,12 @@
 	if len(cands) == 0 {
 		return nil, ReasonNoUpstream
 	}
-	route := b.Policy.Pick(cands, picker.Need{Layers: e.Layers, Local: true}, nil, b.Rand)
+	route := b.Policy.Pick(cands, picker.Requirements{Layers: e.Layers, Local: true}, nil, b.Rand)
 	if route == nil && someDataCentreHoldsAll(cands, e.Layers) {
 		return nil, ReasonNoRoom
 	}
 	if route == nil {
-		route = b.Policy.Pick(cands, picker.Need{Layers: e.Layers}, b.links(now, e, n, cands), b.Rand)
+		route = b.Policy.Pick(cands, picker.Requirements{Layers: e.Layers}, b.links(now, e, n, cands), b.Rand)
 	}
 	if route == nil {
 		return nil, b.shortageReason(cands, e.Layers)
@@ -135,7 +135,7 @@
 	if !b.pipes.available(now) {
 		return nil
 	}
-	route := b.Policy.Pick(cands, picker.Need{Layers: e.Layers}, b.links(now, e, n, cands), b.Rand)
+	route := b.Policy.Pick(cands, picker.Requirements{Layers: e.Layers}, b.links(now, e, n, cands), b.Rand)
 	if route == nil {
 		return nil
 	}
@@ -205,7 +205,7 @@
 		}
 		cands = append(cands, c)
 	}
-	route := b.Policy.Pick(cands, picker.Need{Layers: e.Layers - first.To}, b.links(now, e, l.requirements, cands), b.Rand)
+	route := b.Policy.Pick(cands, picker.Requirements{Layers: e.Layers - first.To}, b.links(now, e, l.requirements, cands), b.Rand)
 	if route == nil {
 		return nil
 	}
--- a/picker/baseline.go
+++ b/picker/baseline.go
@@ -10,7 +10,7 @@
 type Random struct{}
 
 // Pick implements Policy.
-func (Random) Pick(cands []Candidate, need Need, _ Links, rnd *rand.Rand) Route {
+func (Random) Pick(cands []Candidate, need Requirements, _ Links, rnd *rand.Rand) Route {
 	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
 		return eligible[rnd.IntN(len(eligible))]
 	})
@@ -23,7 +23,7 @@
 }
 
 // Pick implements Policy.
-func (p *RoundRobin) Pick(cands []Candidate, need Need, _ Links, _ *rand.Rand) Route {
+func (p *RoundRobin) Pick(cands []Candidate, need Requirements, _ Links, _ *rand.Rand) Route {
 	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
 		p.Turn++
 		return eligible[p.Turn%len(eligible)]
@@ -34,7 +34,7 @@
 type LeastInFlight struct{}
 
 // Pick implements Policy.
-func (LeastInFlight) Pick(cands []Candidate, need Need, _ Links, _ *rand.Rand) Route {
+func (LeastInFlight) Pick(cands []Candidate, need Requirements, _ Links, _ *rand.Rand) Route {
 	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
 		best := eligible[0]
 		for _, c := range eligible[1:] {
@@ -51,7 +51,7 @@
 type TwoChoices struct{}
 
 // Pick implements Policy.
-func (TwoChoices) Pick(cands []Candidate, need Need, _ Links, rnd *rand.Rand) Route {
+func (TwoChoices) Pick(cands []Candidate, need Requirements, _ Links, rnd *rand.Rand) Route {
 	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
 		a, b := eligible[rnd.IntN(len(eligible))], eligible[rnd.IntN(len(eligible))]
 		if b.Utilisation() < a.Utilisation() {
@@ -63,7 +63,7 @@
 
 // greedyRoute builds a route from layer 0 on, with choose picking among the usable upstreams that
 // hold the next layer. It returns nil when no upstream is usable for a layer.
-func greedyRoute(cands []Candidate, need Need, choose func([]*Candidate) *Candidate) Route {
+func greedyRoute(cands []Candidate, need Requirements, choose func([]*Candidate) *Candidate) Route {
 	var route Route
 	eligible := make([]*Candidate, 0, len(cands))
 	for next := 0; next < need.Layers; {
--- a/picker/cheapest.go
+++ b/picker/cheapest.go
@@ -32,7 +32,7 @@
 }
 
 // Pick implements Policy.
-func (p Cheapest) Pick(cands []Candidate, need Need, links Links, rnd *rand.Rand) Route {
+func (p Cheapest) Pick(cands []Candidate, need Requirements, links Links, rnd *rand.Rand) Route {
 	boundaries := layerBoundaries(cands, need.Layers)
 	centres := dataCentres(cands)
 	width := len(centres)
@@ -97,7 +97,7 @@
 // cheapestArrival returns the cheapest cost of reaching data centre dc at boundary m, and the index
 // of the path that it extends. At boundary 0 the cost is the link from the request's data centre and
 // the index is -1.
-func (p Cheapest) cheapestArrival(nodes []bestPath, m, width int, centres []string, dc int, need Need, links Links) (from int, cost float64) {
+func (p Cheapest) cheapestArrival(nodes []bestPath, m, width int, centres []string, dc int, need Requirements, links Links) (from int, cost float64) {
 	if m == 0 {
 		return -1, links.Latency(need.From, centres[dc]).Seconds()
 	}
@@ -116,7 +116,7 @@
 
 // traceRoute returns the route of the cheapest complete path, counting the link back to the
 // request's data centre. It returns nil when there is none.
-func traceRoute(nodes []bestPath, end, width int, centres []string, need Need, links Links) Route {
+func traceRoute(nodes []bestPath, end, width int, centres []string, need Requirements, links Links) Route {
 	best, cost := -1, math.Inf(1)
 	for d := range width {
 		c := nodes[end+d].cost + links.Latency(centres[d], need.From).Seconds()
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -53,8 +53,8 @@
 	return float64(c.Batch) / iteration.Seconds()
 }
 
-// Need is what a request requires of its route.
-type Need struct {
+// Requirements is what a request requires of its route.
+type Requirements struct {
 	// Layers is the number of layers of the model.
 	Layers int
 	// From is the data centre that the route starts from and returns to; empty means any.
@@ -103,7 +103,7 @@
 type Policy interface {
 	// Pick returns a route over candidates that are neither excluded nor full, or nil when there is
 	// none.
-	Pick(cands []Candidate, need Need, links Links, rnd *rand.Rand) Route
+	Pick(cands []Candidate, need Requirements, links Links, rnd *rand.Rand) Route
 }
 
 // usable reports whether a candidate may get new work: it is neither excluded nor full.
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -258,7 +258,7 @@
 		return nil
 	}
 	cands := t.candidates(now, p, r)
-	need := picker.Need{Layers: p.model.Layers, From: r.From}
+	need := picker.Requirements{Layers: p.model.Layers, From: r.From}
 	route := t.Policy.Pick(cands, need, t.links, t.Rand)
 	for _, h := range route {
 		u := t.upstreams[h.Upstream]
