--- a/picker/picker.go
+++ b/picker/picker.go
@@ -72,8 +72,8 @@
 // Route is a list of hops that run each layer of a model once, in order.
 type Route []Hop
 
-// Tiles reports whether the hops run each of the layers 0 to n-1 exactly once, in order.
-func (r Route) Tiles(n int) bool {
+// Covers reports whether the hops run each of the layers 0 to n-1 exactly once, in order.
+func (r Route) Covers(n int) bool {
 	next := 0
 	for _, h := range r {
 		if h.First != next || h.Last < h.First {
--- a/router/router.go
+++ b/router/router.go
@@ -167,7 +167,7 @@
 		u, _ := r.Tracker.Upstream(h.Upstream)
 		out[i] = streamer.Stage{Span: streamer.Span{Upstream: h.Upstream, First: h.First, Last: h.Last}, Address: u.Address}
 	}
-	r.Checker.Assert(route.Tiles(job.Layers), checker.InvariantLayers, job.ID, "route %v does not tile %d layers", route, job.Layers)
+	r.Checker.Assert(route.Covers(job.Layers), checker.InvariantLayers, job.ID, "route %v does not tile %d layers", route, job.Layers)
 	return out
 }
 
