--- a/picker/bound.go
+++ b/picker/bound.go
@@ -9,7 +9,7 @@
 	TokensPerSecond float64
 }
 
-// Bound returns the throughput bound: the most tokens per second that the candidates and links can
+// ThroughputBound returns the throughput bound: the most tokens per second that the candidates and links can
 // carry when each token passes each layer once. work is the cost of a token in iterations: 1 for a
 // generated token, more when the cost of reading prompts is spread over the tokens.
 //
@@ -17,7 +17,7 @@
 // An upstream carries tokens from one boundary to a later one and spends its time on them; links
 // carry tokens between data centres. Identical upstreams share one budget, so the program's size
 // depends on the number of kinds of upstreams and not on the size of the fleet.
-func Bound(cands []Candidate, layers int, limits []LinkLimit, work float64) (float64, error) {
+func ThroughputBound(cands []Candidate, layers int, limits []LinkLimit, work float64) (float64, error) {
 	g := &flowProgram{boundaries: layerBoundaries(cands, layers), centres: dataCentres(cands)}
 	if len(cands) == 0 {
 		return 0, nil
--- a/picker/bound_test.go
+++ b/picker/bound_test.go
@@ -50,7 +50,7 @@
 		{"a path around a narrow link", []Candidate{newCandidate("a", "x", 0, 3, 100), newCandidate("b", "y", 4, 7, 100), newCandidate("c", "x", 4, 7, 40)}, []LinkLimit{{"y", "x", 30}}, 1, 70},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got, err := Bound(row.cands, 8, row.links, row.work)
+			got, err := ThroughputBound(row.cands, 8, row.links, row.work)
 			is.New(t).NoErr(err)
 			assertNear(t, got, row.want)
 		})
@@ -111,7 +111,7 @@
 		for i := range all {
 			all[i].Excluded = rnd.IntN(3) == 0
 		}
-		_, err := Bound(all, 12, nil, 1)
+		_, err := ThroughputBound(all, 12, nil, 1)
 		is.New(t).NoErr(err)
 	}
 }
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -123,5 +123,5 @@
 	}
 	limits, layers := t.limits, p.model.Layers
 	t.mu.Unlock()
-	return picker.Bound(cands, layers, limits, 1)
+	return picker.ThroughputBound(cands, layers, limits, 1)
 }
