--- a/picker/baseline.go
+++ b/picker/baseline.go
@@ -38,7 +38,7 @@
 	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
 		best := eligible[0]
 		for _, c := range eligible[1:] {
-			if c.Own < best.Own {
+			if c.OwnSequences < best.OwnSequences {
 				best = c
 			}
 		}
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -25,8 +25,8 @@
 	Batch int
 	// Sequences is the estimated number of sequences in flight on it, from all hosts.
 	Sequences float64
-	// Own is the number of sequences that this host has in flight on it.
-	Own int
+	// OwnSequences is the number of sequences that this host has in flight on it.
+	OwnSequences int
 	// Slots is the number of sequences that it can hold with tokens still arriving in time.
 	Slots float64
 	// Excluded is set when it must get no new work.
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -337,16 +337,16 @@
 
 func (t *Tracker) candidate(now time.Time, p *pipeline, u *upstream, hosts float64) picker.Candidate {
 	c := picker.Candidate{
-		Name:       u.cfg.Name,
-		DataCentre: u.cfg.DataCentre,
-		First:      u.cfg.FirstLayer,
-		Last:       u.cfg.LastLayer,
-		Step:       ms(u.accelerator.StepMs),
-		Layer:      ms(u.accelerator.LayerMs),
-		Batch:      max(1, u.accelerator.Batch),
-		Own:        u.inFlight,
-		Sequences:  u.sequences(now, hosts),
-		Excluded:   u.stateAt(now) != StateUp,
+		Name:         u.cfg.Name,
+		DataCentre:   u.cfg.DataCentre,
+		First:        u.cfg.FirstLayer,
+		Last:         u.cfg.LastLayer,
+		Step:         ms(u.accelerator.StepMs),
+		Layer:        ms(u.accelerator.LayerMs),
+		Batch:        max(1, u.accelerator.Batch),
+		OwnSequences: u.inFlight,
+		Sequences:    u.sequences(now, hosts),
+		Excluded:     u.stateAt(now) != StateUp,
 	}
 	c.Slots = t.slots(now, u, &c, p, hosts)
 	if t.Unlimited {
