--- a/picker/picker.go
+++ b/picker/picker.go
@@ -18,9 +18,9 @@
 	DataCentre string
 	// First and Last bound the layer range that it holds, both inclusive.
 	First, Last int
-	// Step is the fixed time of an iteration, Layer the time that one layer adds to it for one
+	// StepTime is the fixed time of an iteration, Layer the time that one layer adds to it for one
 	// sequence.
-	Step, Layer time.Duration
+	StepTime, Layer time.Duration
 	// Batch is the maximum number of sequences in one iteration, at least 1.
 	Batch int
 	// Sequences is the estimated number of sequences in flight on it, from all hosts.
@@ -49,7 +49,7 @@
 // Rate returns how many tokens per second it carries when it runs n layers for each token in full
 // batches.
 func (c *Candidate) Rate(n int) float64 {
-	iteration := c.Step + time.Duration(c.Batch*n)*c.Layer
+	iteration := c.StepTime + time.Duration(c.Batch*n)*c.Layer
 	return float64(c.Batch) / iteration.Seconds()
 }
 
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -341,7 +341,7 @@
 		DataCentre:   u.cfg.DataCentre,
 		First:        u.cfg.FirstLayer,
 		Last:         u.cfg.LastLayer,
-		Step:         ms(u.accelerator.StepMs),
+		StepTime:     ms(u.accelerator.StepMs),
 		Layer:        ms(u.accelerator.LayerMs),
 		Batch:        max(1, u.accelerator.Batch),
 		OwnSequences: u.inFlight,
