--- a/picker/bound.go
+++ b/picker/bound.go
@@ -67,7 +67,7 @@
 		if c.Excluded {
 			continue
 		}
-		kind := upstreamKind{c.DataCentre, c.First, c.Last, int64(c.StepTime), int64(c.Layer), c.Batch}
+		kind := upstreamKind{c.DataCentre, c.First, c.Last, int64(c.StepTime), int64(c.LayerTime), c.Batch}
 		if groups[kind] == 0 {
 			order = append(order, kind)
 			sample[kind] = c
--- a/picker/bound_test.go
+++ b/picker/bound_test.go
@@ -15,7 +15,7 @@
 // range, one sequence at a time, with no fixed time per iteration.
 func newCandidate(name, dc string, first, last int, rate float64) Candidate {
 	layer := time.Duration(float64(time.Second) / rate / float64(last-first+1))
-	return Candidate{Name: name, DataCentre: dc, First: first, Last: last, Layer: layer, Batch: 1, Slots: 10}
+	return Candidate{Name: name, DataCentre: dc, First: first, Last: last, LayerTime: layer, Batch: 1, Slots: 10}
 }
 
 func assertNear(t *testing.T, got, want float64) {
--- a/picker/cheapest.go
+++ b/picker/cheapest.go
@@ -58,7 +58,7 @@
 			}
 			for e := m + 1; e < len(boundaries) && boundaries[e] <= c.Last+1; e++ {
 				n := boundaries[e] - boundary
-				cost := arrivalCost + factors[i]*(c.StepTime+time.Duration(n)*c.Layer).Seconds()
+				cost := arrivalCost + factors[i]*(c.StepTime+time.Duration(n)*c.LayerTime).Seconds()
 				at := e*width + dc
 				if cost < nodes[at].cost {
 					nodes[at] = bestPath{cost, Hop{c.Name, boundary, boundaries[e] - 1}, from}
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -20,7 +20,7 @@
 	First, Last int
 	// StepTime is the fixed time of an iteration, Layer the time that one layer adds to it for one
 	// sequence.
-	StepTime, Layer time.Duration
+	StepTime, LayerTime time.Duration
 	// Batch is the maximum number of sequences in one iteration, at least 1.
 	Batch int
 	// Sequences is the estimated number of sequences in flight on it, from all hosts.
@@ -49,7 +49,7 @@
 // Rate returns how many tokens per second it carries when it runs n layers for each token in full
 // batches.
 func (c *Candidate) Rate(n int) float64 {
-	iteration := c.StepTime + time.Duration(c.Batch*n)*c.Layer
+	iteration := c.StepTime + time.Duration(c.Batch*n)*c.LayerTime
 	return float64(c.Batch) / iteration.Seconds()
 }
 
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -342,7 +342,7 @@
 		First:        u.cfg.FirstLayer,
 		Last:         u.cfg.LastLayer,
 		StepTime:     ms(u.accelerator.StepMs),
-		Layer:        ms(u.accelerator.LayerMs),
+		LayerTime:    ms(u.accelerator.LayerMs),
 		Batch:        max(1, u.accelerator.Batch),
 		OwnSequences: u.inFlight,
 		Sequences:    u.sequences(now, hosts),
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -99,7 +99,7 @@
 		}
 		c := t.candidate(now, p, u, hosts)
 		n := min(c.Sequences, float64(c.Batch))
-		sum += c.StepTime + time.Duration(n*float64(h.Last-h.First+1)*float64(c.Layer))
+		sum += c.StepTime + time.Duration(n*float64(h.Last-h.First+1)*float64(c.LayerTime))
 		sum += t.links.Latency(at, c.DataCentre)
 		at = c.DataCentre
 	}
