--- a/balancer/path_bench_test.go
+++ b/balancer/path_bench_test.go
@@ -17,7 +17,7 @@
 	for _, size := range []struct{ upstreams, hosts int }{{40, 4}, {100, 25}, {200, 25}, {205, 119}, {205, 300}, {1000, 100}, {3000, 300}} {
 		b.Run(fmt.Sprintf("%d upstreams %d hosts", size.upstreams, size.hosts), func(b *testing.B) {
 			const ranges = 10
-			bal := &balancer.Balancer{Host: "h", DataCentre: "dc0", Policy: picker.Cheapest{Steepness: 2, Spread: 0.1}, Rand: rand.New(rand.NewPCG(1, 1))}
+			bal := &balancer.Balancer{Host: "h", DataCentre: "dc0", Policy: picker.Cheapest{Steepness: 2, Jitter: 0.1}, Rand: rand.New(rand.NewPCG(1, 1))}
 			bal.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: engine()}})
 			var list []balancer.Upstream
 			var usage []balancer.Usage
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -51,7 +51,7 @@
 	e := engine()
 	e.PipeMbps = 4000
 	for i, dc := range []string{"a", "b"} {
-		b := &balancer.Balancer{DataCentre: dc, Policy: picker.Cheapest{Steepness: 2, Spread: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
+		b := &balancer.Balancer{DataCentre: dc, Policy: picker.Cheapest{Steepness: 2, Jitter: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: e}})
 		var list []balancer.Upstream
 		for _, at := range []string{"a", "b"} {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -32,7 +32,7 @@
 func largeFleetHosts(hosts, upstreams int) []*balancer.Balancer {
 	out := make([]*balancer.Balancer, hosts/3)
 	for i := range out {
-		b := &balancer.Balancer{Host: fmt.Sprint("host", 3*i), DataCentre: "dc0", Policy: picker.Cheapest{Steepness: 2, Spread: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
+		b := &balancer.Balancer{Host: fmt.Sprint("host", 3*i), DataCentre: "dc0", Policy: picker.Cheapest{Steepness: 2, Jitter: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: engine()}})
 		b.SetHosts(hostDataCentres(hosts))
 		b.List(largeFleet(upstreams), nil)
--- a/picker/cheapest.go
+++ b/picker/cheapest.go
@@ -15,9 +15,9 @@
 	// Steepness is how strongly a utilised upstream is avoided: a hop costs
 	// 1/(1-utilisation)^Steepness times what it costs on an idle upstream. 0 means 1.
 	Steepness float64
-	// Spread is random jitter: each cost is multiplied by a random factor between 1 and 1+Spread,
+	// Jitter is random jitter: each cost is multiplied by a random factor between 1 and 1+Spread,
 	// so that hosts with the same load reports don't all choose the same upstream. 0 means none.
-	Spread float64
+	Jitter float64
 	// PreferredCost multiplies the cost of a Preferred candidate; 0 means 1.
 	PreferredCost float64
 }
@@ -84,8 +84,8 @@
 			continue
 		}
 		out[i] = math.Pow(1-c.Utilisation(), -steepness) * (1 + c.Bias)
-		if p.Spread > 0 {
-			out[i] *= 1 + p.Spread*rnd.Float64()
+		if p.Jitter > 0 {
+			out[i] *= 1 + p.Jitter*rnd.Float64()
 		}
 		if c.Preferred && p.PreferredCost > 0 {
 			out[i] *= p.PreferredCost
