--- a/picker/cheapest.go
+++ b/picker/cheapest.go
@@ -18,8 +18,8 @@
 	// Jitter is random jitter: each cost is multiplied by a random factor between 1 and 1+Spread,
 	// so that hosts with the same load reports don't all choose the same upstream. 0 means none.
 	Jitter float64
-	// PreferredCost multiplies the cost of a Preferred candidate; 0 means 1.
-	PreferredCost float64
+	// PreferredFactor multiplies the cost of a Preferred candidate; 0 means 1.
+	PreferredFactor float64
 }
 
 // bestPath is the cheapest path found so far that has run all layers before a boundary and ends in a
@@ -87,8 +87,8 @@
 		if p.Jitter > 0 {
 			out[i] *= 1 + p.Jitter*rnd.Float64()
 		}
-		if c.Preferred && p.PreferredCost > 0 {
-			out[i] *= p.PreferredCost
+		if c.Preferred && p.PreferredFactor > 0 {
+			out[i] *= p.PreferredFactor
 		}
 	}
 	return out
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -441,5 +441,5 @@
 	{"round robin", func() picker.Policy { return new(picker.RoundRobin) }},
 	{"least in flight", func() picker.Policy { return picker.LeastInFlight{} }},
 	{"two choices", func() picker.Policy { return picker.TwoChoices{} }},
-	{"cheapest", func() picker.Policy { return picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredCost: 0.7} }},
+	{"cheapest", func() picker.Policy { return picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredFactor: 0.7} }},
 }
--- a/runner/build.go
+++ b/runner/build.go
@@ -27,7 +27,7 @@
 )
 
 // DefaultPolicy is the one that docs/MEASUREMENTS.md shows to be best.
-var DefaultPolicy = picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredCost: 0.7}
+var DefaultPolicy = picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredFactor: 0.7}
 
 const (
 	dialTimeout = 2 * time.Second
