--- a/picker/baseline.go
+++ b/picker/baseline.go
@@ -18,15 +18,15 @@
 
 // RoundRobin takes the eligible upstreams in turn. It is not safe for concurrent use.
 type RoundRobin struct {
-	// Turn is the number of choices so far.
-	Turn int
+	// Choices is the number of choices so far.
+	Choices int
 }
 
 // Pick implements Policy.
 func (p *RoundRobin) Pick(cands []Candidate, need Requirements, _ Links, _ *rand.Rand) Route {
 	return greedyRoute(cands, need, func(eligible []*Candidate) *Candidate {
-		p.Turn++
-		return eligible[p.Turn%len(eligible)]
+		p.Choices++
+		return eligible[p.Choices%len(eligible)]
 	})
 }
 
