--- a/deduplicator/bucket.go
+++ b/deduplicator/bucket.go
@@ -142,7 +142,7 @@
 			kept = append(kept, op)
 			continue
 		}
-		op.err = ErrUnsettled
+		op.err = ErrClaimTimeout
 		close(op.done)
 	}
 	return kept
--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -22,9 +22,9 @@
 )
 
 var (
-	// ErrUnsettled means that the call's record could not be written in time. The call did not run
+	// ErrClaimTimeout means that the call's record could not be written in time. The call did not run
 	// and never will under its nonce.
-	ErrUnsettled = errors.New("deduplicator: platform did not answer in time")
+	ErrClaimTimeout = errors.New("deduplicator: platform did not answer in time")
 	// ErrNotDispatched means that no byte of the call was sent, and none will be.
 	ErrNotDispatched = errors.New("deduplicator: not dispatched")
 	// ErrKeyReused means that the key was used before with a different request.
@@ -145,7 +145,7 @@
 		// longer live, a repeat that queries this host learns so and takes the record over.
 		d.removeLive(nonce)
 		if err != nil {
-			return Outcome{}, false, fmt.Errorf("%w: %w", ErrUnsettled, err)
+			return Outcome{}, false, fmt.Errorf("%w: %w", ErrClaimTimeout, err)
 		}
 		out, err = d.replay(ctx, c, rec, running)
 		return out, false, err
@@ -256,7 +256,7 @@
 	// So a call that was not sent in time is not sent at all.
 	if ctx.Err() != nil {
 		d.recordOutcome(rec, StateAbandoned, nil)
-		return Outcome{}, false, ErrUnsettled
+		return Outcome{}, false, ErrClaimTimeout
 	}
 	d.Checker.Assert(d.isLive(rec.Nonce), checker.InvariantAtMostOnce, c.RequestID, "dispatch under nonce %s, which is not live", rec.Nonce)
 	out, sent, known := send(ctx)
--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -257,7 +257,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		_, ran, err := a.Do(ctx, call("k"), f.countedDispatch("k", 0, true))
-		is.True(errors.Is(err, deduplicator.ErrUnsettled))
+		is.True(errors.Is(err, deduplicator.ErrClaimTimeout))
 		is.True(!ran)
 		close(blocked.unblock)
 		time.Sleep(10 * time.Second)
