--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -32,8 +32,8 @@
 	// ErrRunning means that an earlier request with the key is running, or that its outcome could
 	// not be read now.
 	ErrRunning = errors.New("deduplicator: call is running")
-	// ErrUnknown means that the call may have run; it is never run again.
-	ErrUnknown = errors.New("deduplicator: outcome unknown")
+	// ErrOutcomeUnknown means that the call may have run; it is never run again.
+	ErrOutcomeUnknown = errors.New("deduplicator: outcome unknown")
 )
 
 // maxInlineBody is the size in bytes of the largest body stored in the record itself. A larger body
@@ -225,13 +225,13 @@
 	case StateDone:
 		return d.loadOutcome(ctx, rec)
 	case StateUnknown:
-		return Outcome{}, ErrUnknown
+		return Outcome{}, ErrOutcomeUnknown
 	case StateClaimed, StateAbandoned:
 	}
 	if running {
 		return Outcome{}, ErrRunning
 	}
-	return Outcome{}, ErrUnknown
+	return Outcome{}, ErrOutcomeUnknown
 }
 
 func (d *Deduplicator) loadOutcome(ctx context.Context, rec Record) (Outcome, error) {
@@ -241,7 +241,7 @@
 	}
 	e, err := d.Store.Get(ctx, outcomeKey(rec.Nonce))
 	if errors.Is(err, storer.ErrNotFound) {
-		return out, ErrUnknown
+		return out, ErrOutcomeUnknown
 	}
 	if err != nil {
 		return out, ErrRunning
@@ -266,7 +266,7 @@
 		return Outcome{}, false, ErrNotDispatched
 	case !known:
 		d.recordOutcome(rec, StateUnknown, nil)
-		return Outcome{}, true, ErrUnknown
+		return Outcome{}, true, ErrOutcomeUnknown
 	default:
 		d.recordOutcome(rec, StateDone, &out)
 		return out, true, nil
--- a/server/services.go
+++ b/server/services.go
@@ -260,7 +260,7 @@
 	case !sent:
 		return &admitter.Refusal{Reason: admitter.ReasonNoRoute, NotRun: true, RetryAfter: time.Second}
 	case !known:
-		return onceRefusal(deduplicator.ErrUnknown)
+		return onceRefusal(deduplicator.ErrOutcomeUnknown)
 	}
 	return p.answer(&ServiceResponse{Status: out.Status, ContentType: out.ContentType, Body: out.Body})
 }
@@ -269,7 +269,7 @@
 	switch {
 	case errors.Is(err, deduplicator.ErrRunning):
 		return &admitter.Refusal{Reason: admitter.ReasonRunning, RetryAfter: time.Second, Detail: "an earlier call with this key is running"}
-	case errors.Is(err, deduplicator.ErrUnknown):
+	case errors.Is(err, deduplicator.ErrOutcomeUnknown):
 		return &admitter.Refusal{Reason: admitter.ReasonOutcomeUnknown, Detail: "the call was sent and its outcome is not known; it is never sent again"}
 	case errors.Is(err, deduplicator.ErrKeyReused):
 		return &admitter.Refusal{Reason: admitter.ReasonKeyReused, NotRun: true, Detail: "the key came before with another request"}
