--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -67,12 +67,12 @@
 	Store storer.Store
 	// Host and Incarnation identify this process in records. Address is where other hosts can query
 	// it.
-	Host        string
-	Incarnation int64
-	Address     string
-	Asker       Asker
-	Checker     *checker.Checker
-	Log         zerolog.Logger
+	Host         string
+	Incarnation  int64
+	Address      string
+	ClaimQuerier Asker
+	Checker      *checker.Checker
+	Log          zerolog.Logger
 	// Buckets is the number of hash ranges of keys. It must be the same on every host.
 	Buckets int
 	// Retention is the minimum time that a record is kept.
@@ -194,7 +194,7 @@
 	if rec.Host == d.Host {
 		return d.Answer(rec.Incarnation, rec.Nonce)
 	}
-	running, abandoned, err := d.Asker.Ask(ctx, rec)
+	running, abandoned, err := d.ClaimQuerier.Ask(ctx, rec)
 	if err != nil {
 		d.Log.Info().Str("host", rec.Host).Err(err).Msg("deduplicator: host that claimed a call can't be queried")
 		return false, false
