--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -42,10 +42,10 @@
 
 // Asker queries the host that claimed a call.
 type Asker interface {
-	// Ask returns what Answer returns on the host that wrote the record. It returns an error when
+	// QueryClaim returns what Answer returns on the host that wrote the record. It returns an error when
 	// the host can't be reached or is no longer the one that claimed the call; the outcome is then
 	// unknown.
-	Ask(ctx context.Context, rec Record) (running, abandoned bool, err error)
+	QueryClaim(ctx context.Context, rec Record) (running, abandoned bool, err error)
 }
 
 // Dispatch sends the call once. sent is false only when no byte was sent to any upstream. known is
@@ -194,7 +194,7 @@
 	if rec.Host == d.Host {
 		return d.Answer(rec.Incarnation, rec.Nonce)
 	}
-	running, abandoned, err := d.ClaimQuerier.Ask(ctx, rec)
+	running, abandoned, err := d.ClaimQuerier.QueryClaim(ctx, rec)
 	if err != nil {
 		d.Log.Info().Str("host", rec.Host).Err(err).Msg("deduplicator: host that claimed a call can't be queried")
 		return false, false
