--- a/runner/news.go
+++ b/runner/news.go
@@ -102,8 +102,8 @@
 // asker asks other hosts for the fate of idempotency records.
 type asker struct{ *Host }
 
-// Ask implements deduplicator.Asker.
-func (a asker) Ask(ctx context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
+// QueryClaim implements deduplicator.Asker.
+func (a asker) QueryClaim(ctx context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
 	c := a.gossip.ClientAt(rec.Host, rec.Address)
 	if c == nil {
 		return false, false, fmt.Errorf("host %s is gone", rec.Host)
