--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -58,8 +58,8 @@
 	return f.hosts[name]
 }
 
-// Ask implements deduplicator.Asker.
-func (f *fleet) Ask(_ context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
+// QueryClaim implements deduplicator.Asker.
+func (f *fleet) QueryClaim(_ context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
 	d := f.host(rec.Host)
 	if d == nil {
 		return false, false, errors.New("no such host")
