--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -192,7 +192,7 @@
 // that host can't be queried.
 func (d *Deduplicator) queryClaim(ctx context.Context, rec Record) (running, abandoned bool) {
 	if rec.Host == d.Host {
-		return d.Answer(rec.Incarnation, rec.Nonce)
+		return d.ClaimState(rec.Incarnation, rec.Nonce)
 	}
 	running, abandoned, err := d.ClaimQuerier.QueryClaim(ctx, rec)
 	if err != nil {
@@ -202,11 +202,11 @@
 	return running, abandoned
 }
 
-// Answer reports to another host the state of a nonce of this process. A nonce that isn't live was
+// ClaimState reports to another host the state of a nonce of this process. A nonce that isn't live was
 // never dispatched, or its outcome is recorded. The other host then takes the record over by
 // compare-and-swap, which fails in the latter case. After a restart, with another incarnation, both
 // results are false: the state is unknown.
-func (d *Deduplicator) Answer(incarnation int64, nonce string) (running, abandoned bool) {
+func (d *Deduplicator) ClaimState(incarnation int64, nonce string) (running, abandoned bool) {
 	if incarnation != d.Incarnation {
 		return false, false
 	}
--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -64,7 +64,7 @@
 	if d == nil {
 		return false, false, errors.New("no such host")
 	}
-	running, abandoned = d.Answer(rec.Incarnation, rec.Nonce)
+	running, abandoned = d.ClaimState(rec.Incarnation, rec.Nonce)
 	return running, abandoned, nil
 }
 
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -36,7 +36,7 @@
 
 // Record implements peer.Peer.
 func (p peerService) Record(_ context.Context, req *peer.RecordRequest) (*peer.RecordResponse, error) {
-	running, abandoned := p.h.dedup.Answer(req.Incarnation, req.Nonce)
+	running, abandoned := p.h.dedup.ClaimState(req.Incarnation, req.Nonce)
 	return &peer.RecordResponse{Running: running, Abandoned: abandoned}, nil
 }
 
