--- a/deduplicator/bucket.go
+++ b/deduplicator/bucket.go
@@ -73,7 +73,7 @@
 // submit queues an operation and waits until it is committed, its deadline passes or ctx ends.
 func (b *bucket) submit(ctx context.Context, op *operation) error {
 	op.done = make(chan struct{})
-	op.deadline = time.Now().Add(b.d.Patience)
+	op.deadline = time.Now().Add(b.d.CommitTimeout)
 	b.mu.Lock()
 	b.pending = append(b.pending, op)
 	startCommitter := !b.committing
--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -77,8 +77,8 @@
 	Buckets int
 	// Retention is the minimum time that a record is kept.
 	Retention time.Duration
-	// Patience is the longest that a caller waits for a record to be written.
-	Patience time.Duration
+	// CommitTimeout is the longest that a caller waits for a record to be written.
+	CommitTimeout time.Duration
 	// Clock is this host's wall clock, which may be wrong; nil means time.Now. Only the expiry of
 	// records depends on it.
 	Clock func() time.Time
@@ -322,7 +322,7 @@
 		return &out
 	}
 	for range 5 {
-		ctx, cancel := context.WithTimeout(context.Background(), d.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), d.CommitTimeout)
 		_, err := d.Store.Swap(ctx, storer.Write{Key: outcomeKey(rec.Nonce), Value: body})
 		cancel()
 		if err == nil || errors.Is(err, storer.ErrConflict) {
--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -38,7 +38,7 @@
 // start starts a host, and stops the one that had this name before.
 func (f *fleet) start(name string, incarnation int64, skew time.Duration) *deduplicator.Deduplicator {
 	d := &deduplicator.Deduplicator{
-		Store: f.store, Host: name, Incarnation: incarnation, ClaimQuerier: f, Buckets: f.buckets, Retention: retention, Patience: 3 * time.Second,
+		Store: f.store, Host: name, Incarnation: incarnation, ClaimQuerier: f, Buckets: f.buckets, Retention: retention, CommitTimeout: 3 * time.Second,
 		Checker: &checker.Checker{Fail: func(v checker.Violation) { f.t.Error(v) }},
 		Clock:   func() time.Time { return time.Now().Add(skew) },
 	}
--- a/runner/build.go
+++ b/runner/build.go
@@ -152,16 +152,16 @@
 		StallFloor: ms(h.Settings.Timing.StallFloorMs),
 	}
 	h.dedup = &deduplicator.Deduplicator{
-		Store:        h.store,
-		Host:         h.Settings.Host,
-		Incarnation:  time.Now().UnixMilli(),
-		Address:      h.gossip.Host.GetAddress(),
-		ClaimQuerier: asker{h},
-		Checker:      h.Checker,
-		Log:          h.Log,
-		Buckets:      buckets,
-		Retention:    retention,
-		Patience:     patience,
+		Store:         h.store,
+		Host:          h.Settings.Host,
+		Incarnation:   time.Now().UnixMilli(),
+		Address:       h.gossip.Host.GetAddress(),
+		ClaimQuerier:  asker{h},
+		Checker:       h.Checker,
+		Log:           h.Log,
+		Buckets:       buckets,
+		Retention:     retention,
+		CommitTimeout: patience,
 	}
 	h.dedup.Start()
 }
