--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -236,7 +236,7 @@
 
 func (d *Deduplicator) loadOutcome(ctx context.Context, rec Record) (Outcome, error) {
 	out := *rec.Outcome
-	if out.Body != nil || !out.Apart {
+	if out.Body != nil || !out.StoredSeparately {
 		return out, nil
 	}
 	e, err := d.Store.Get(ctx, outcomeKey(rec.Nonce))
@@ -317,7 +317,7 @@
 // repeats of the call get ErrUnknown.
 func (d *Deduplicator) storeBody(rec Record, out Outcome) *Outcome {
 	body := out.Body
-	out.Body, out.Apart = nil, true
+	out.Body, out.StoredSeparately = nil, true
 	if len(body) > storer.MaxValue {
 		return &out
 	}
--- a/deduplicator/record.go
+++ b/deduplicator/record.go
@@ -27,8 +27,8 @@
 	Status      int    `json:"status"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Apart is set when Body is too large for the record and is stored under its own key.
-	Apart bool `json:"apart,omitempty"`
+	// StoredSeparately is set when Body is too large for the record and is stored under its own key.
+	StoredSeparately bool `json:"apart,omitempty"`
 }
 
 // Record is the stored state of one call that is not idempotent.
