--- a/router/router.go
+++ b/router/router.go
@@ -30,9 +30,9 @@
 	retryAfter = time.Second
 )
 
-// News announces to other hosts what this host observed of upstreams, and probes upstreams that
+// Announcer announces to other hosts what this host observed of upstreams, and probes upstreams that
 // may be down.
-type News interface {
+type Announcer interface {
 	// AnnounceLeaving announces that an upstream takes no new work in the given incarnation.
 	AnnounceLeaving(upstream string, incarnation int64)
 	// AnnounceDown announces that an upstream does not answer, or with down false that it answers again.
@@ -55,7 +55,7 @@
 	Admitter   *admitter.Admitter[picker.Route]
 	Limits     *admitter.Limits
 	Budget     *admitter.Budget
-	Announcer  News
+	Announcer  Announcer
 	Meter      *meter.Meter
 	Checker    *checker.Checker
 
