--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -40,8 +40,8 @@
 // is stored under its own key.
 const maxInlineBody = 1 << 10
 
-// Asker queries the host that claimed a call.
-type Asker interface {
+// ClaimQuerier queries the host that claimed a call.
+type ClaimQuerier interface {
 	// QueryClaim returns what Answer returns on the host that wrote the record. It returns an error when
 	// the host can't be reached or is no longer the one that claimed the call; the outcome is then
 	// unknown.
@@ -70,7 +70,7 @@
 	Host         string
 	Incarnation  int64
 	Address      string
-	ClaimQuerier Asker
+	ClaimQuerier ClaimQuerier
 	Checker      *checker.Checker
 	Log          zerolog.Logger
 	// Buckets is the number of hash ranges of keys. It must be the same on every host.
