--- a/placer/layout.go
+++ b/placer/layout.go
@@ -288,7 +288,7 @@
 		if share == 1 {
 			soleHolders++
 		}
-		capacity := targetUtilization * (members[i].MB - float64(s.Len())*m.LayerMB) / (m.TokenMB * m.Tokens * float64(s.Len()))
+		capacity := targetUtilization * (members[i].MB - float64(s.Len())*m.LayerMB) / (m.TokenMB * m.TokensPerRequest * float64(s.Len()))
 		concurrency = min(concurrency, capacity/share)
 		weight := members[i].Pace * sum / float64(m.Layers)
 		base += weight * m.Step
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -32,8 +32,8 @@
 	LayerMB float64
 	// TokenMB is the KV cache of one token in one layer, in MB.
 	TokenMB float64
-	// Tokens is the number of tokens that a typical request has in the cache.
-	Tokens float64
+	// TokensPerRequest is the number of tokens that a typical request has in the cache.
+	TokensPerRequest float64
 	// Step is the time of a token step over all layers at pace 1. Request is what each
 	// request in the batch adds to it, in the same unit.
 	Step, Request float64
@@ -159,6 +159,6 @@
 // maxLayers returns how many layers fit into mb beside the cache of the given number of
 // requests.
 func maxLayers(m Model, mb, requests float64) int {
-	n := int(mb / (m.LayerMB + requests*m.Tokens*m.TokenMB))
+	n := int(mb / (m.LayerMB + requests*m.TokensPerRequest*m.TokenMB))
 	return max(0, min(n, m.Layers))
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -13,7 +13,7 @@
 )
 
 // model has 80 layers; a typical request takes about 6.5 MB of cache memory in each.
-var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, Tokens: 879, Step: 1.02, Request: 0.01}
+var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, TokensPerRequest: 879, Step: 1.02, Request: 0.01}
 
 // cardKind is a kind of accelerator.
 type cardKind struct{ mb, pace float64 }
@@ -104,7 +104,7 @@
 		for l := x.Held.From; l < x.Held.To; l++ {
 			share = max(share, 1/float64(holders[l]))
 		}
-		room := (x.MB - float64(x.Held.Len())*model.LayerMB) / model.TokenMB / float64(x.Held.Len()) / model.Tokens
+		room := (x.MB - float64(x.Held.Len())*model.LayerMB) / model.TokenMB / float64(x.Held.Len()) / model.TokensPerRequest
 		concurrency = min(concurrency, room/share)
 		part := x.Pace * float64(x.Held.Len()) / float64(model.Layers) * share
 		t0 += part * model.Step
