--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -240,7 +240,7 @@
 		TokenMB: e.TokenBytes / float64(e.Layers) / 1e6,
 		// On average over its lifetime a request holds its prompt and half of its answer.
 		TokensPerRequest: e.Prompt + e.Answer/2,
-		Step:             e.StepMs,
+		StepTime:         e.StepMs,
 		Request:          e.PerSequenceMs + e.PerContextMs*(e.Prompt+e.Answer/2)/1e3,
 		Slots:            e.Slots,
 	}
--- a/placer/layout.go
+++ b/placer/layout.go
@@ -291,7 +291,7 @@
 		capacity := targetUtilization * (members[i].MB - float64(s.Len())*m.LayerMB) / (m.TokenMB * m.TokensPerRequest * float64(s.Len()))
 		concurrency = min(concurrency, capacity/share)
 		weight := members[i].Pace * sum / float64(m.Layers)
-		base += weight * m.Step
+		base += weight * m.StepTime
 		perRequest += weight * share * m.Request
 	}
 	if m.Slots > 0 {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -34,9 +34,9 @@
 	TokenMB float64
 	// TokensPerRequest is the number of tokens that a typical request has in the cache.
 	TokensPerRequest float64
-	// Step is the time of a token step over all layers at pace 1. Request is what each
+	// StepTime is the time of a token step over all layers at pace 1. Request is what each
 	// request in the batch adds to it, in the same unit.
-	Step, Request float64
+	StepTime, Request float64
 	// Slots bounds the concurrent requests sent to a member that holds the first layer; 0
 	// means no bound.
 	Slots int
