--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -239,10 +239,10 @@
 		LayerMB: e.LayerMB,
 		TokenMB: e.TokenBytes / float64(e.Layers) / 1e6,
 		// On average over its lifetime a request holds its prompt and half of its answer.
-		TokensPerRequest: e.Prompt + e.Answer/2,
-		StepTime:         e.StepMs,
-		Request:          e.PerSequenceMs + e.PerContextMs*(e.Prompt+e.Answer/2)/1e3,
-		Slots:            e.Slots,
+		TokensPerRequest:   e.Prompt + e.Answer/2,
+		StepTime:           e.StepMs,
+		StepTimePerRequest: e.PerSequenceMs + e.PerContextMs*(e.Prompt+e.Answer/2)/1e3,
+		Slots:              e.Slots,
 	}
 }
 
--- a/placer/divisions.go
+++ b/placer/divisions.go
@@ -51,7 +51,7 @@
 				}
 				n := tables[k][layers[k]]
 				p.redundant = p.redundant && n > 1
-				stepTime += members[b[0]].Pace * float64(layers[k]) / float64(m.Layers) * (m.StepTime + m.Request*concurrency/float64(n))
+				stepTime += members[b[0]].Pace * float64(layers[k]) / float64(m.Layers) * (m.StepTime + m.StepTimePerRequest*concurrency/float64(n))
 			}
 			p.rate = concurrency / stepTime
 			all = append(all, p)
--- a/placer/layout.go
+++ b/placer/layout.go
@@ -292,7 +292,7 @@
 		concurrency = min(concurrency, capacity/share)
 		weight := members[i].Pace * sum / float64(m.Layers)
 		base += weight * m.StepTime
-		perRequest += weight * share * m.Request
+		perRequest += weight * share * m.StepTimePerRequest
 	}
 	if m.Slots > 0 {
 		concurrency = min(concurrency, float64(firstHolders*m.Slots))
--- a/placer/layout_test.go
+++ b/placer/layout_test.go
@@ -12,7 +12,7 @@
 )
 
 // roomyModel is a model of which the fleets below have memory for several copies.
-var roomyModel = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.005325, TokensPerRequest: 844, StepTime: 0.85, Request: 0.006, Slots: 192}
+var roomyModel = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.005325, TokensPerRequest: 844, StepTime: 0.85, StepTimePerRequest: 0.006, Slots: 192}
 
 // assertSurvivesLoss checks that every layer still has a holder after the loss of any member.
 func assertSurvivesLoss(t *testing.T, members []placer.Member) {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -36,7 +36,7 @@
 	TokensPerRequest float64
 	// StepTime is the time of a token step over all layers at pace 1. Request is what each
 	// request in the batch adds to it, in the same unit.
-	StepTime, Request float64
+	StepTime, StepTimePerRequest float64
 	// Slots bounds the concurrent requests sent to a member that holds the first layer; 0
 	// means no bound.
 	Slots int
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -13,7 +13,7 @@
 )
 
 // model has 80 layers; a typical request takes about 6.5 MB of cache memory in each.
-var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, TokensPerRequest: 879, StepTime: 1.02, Request: 0.01}
+var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, TokensPerRequest: 879, StepTime: 1.02, StepTimePerRequest: 0.01}
 
 // cardKind is a kind of accelerator.
 type cardKind struct{ mb, pace float64 }
@@ -108,7 +108,7 @@
 		concurrency = min(concurrency, room/share)
 		part := x.Pace * float64(x.Held.Len()) / float64(model.Layers) * share
 		t0 += part * model.StepTime
-		t1 += part * share * model.Request
+		t1 += part * share * model.StepTimePerRequest
 	}
 	return concurrency / (t0 + t1*concurrency)
 }
