--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -199,7 +199,7 @@
 			delete(o.lastListed, address)
 			continue
 		}
-		r.member.Missing, r.member.Pending = true, false
+		r.member.Unreachable, r.member.Pending = true, false
 		members = append(members, r.member)
 	}
 	return members
@@ -250,7 +250,7 @@
 // holding the ordered span: it takes no new requests for its old layers.
 func (o *Orderer) memberOf(e *matcher.Engine, u *balancer.Member) placer.Member {
 	card := balancer.CardOf(e, u.Card)
-	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Holds), Missing: u.Out, Streams: u.Streams}
+	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Holds), Unreachable: u.Out, Streams: u.Streams}
 	if o.orderPending(u) {
 		m.Pending = true
 		o.mu.Lock()
--- a/placer/gaps.go
+++ b/placer/gaps.go
@@ -67,7 +67,7 @@
 func availableEmpty(members []Member, moved map[string]bool) []Member {
 	var out []Member
 	for _, x := range members {
-		if x.Held.Len() == 0 && !x.Pending && !x.Missing && !moved[x.ID] {
+		if x.Held.Len() == 0 && !x.Pending && !x.Unreachable && !moved[x.ID] {
 			out = append(out, x)
 		}
 	}
@@ -100,7 +100,7 @@
 func pickReplacement(m Model, members []Member, moved map[string]bool, holders *coverage, gap Span) (Member, Span) {
 	best, span, bestScore := Member{}, Span{}, 0.0
 	for _, x := range members {
-		if x.Pending || x.Missing || moved[x.ID] || !holders.redundant(x.Held) {
+		if x.Pending || x.Unreachable || moved[x.ID] || !holders.redundant(x.Held) {
 			continue
 		}
 		n := evenShare(gap.Len(), maxLayers(m, x.MB, repairRequests))
@@ -137,7 +137,7 @@
 func extendNeighbour(m Model, members []Member, moved map[string]bool, gap Span) (Member, Span) {
 	best, span, covered := Member{}, Span{}, 0
 	for _, x := range members {
-		if x.Pending || x.Missing || moved[x.ID] || x.Held.Len() == 0 {
+		if x.Pending || x.Unreachable || moved[x.ID] || x.Held.Len() == 0 {
 			continue
 		}
 		n := min(gap.Len(), maxLayers(m, x.MB, minRequests)-x.Held.Len())
--- a/placer/layout.go
+++ b/placer/layout.go
@@ -30,7 +30,7 @@
 			layouts[key] = layout(m, cell)
 		}
 		for i, s := range layouts[key] {
-			if s.Len() > 0 && !cell[i].Pending && !cell[i].Missing {
+			if s.Len() > 0 && !cell[i].Pending && !cell[i].Unreachable {
 				out = append(out, Move{cell[i].ID, s})
 			}
 		}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -54,9 +54,9 @@
 	Held Span
 	// Pending is set while an order to it is not carried out yet.
 	Pending bool
-	// Missing is set while it is unreachable but may return soon. The layers it held are
+	// Unreachable is set while it is unreachable but may return soon. The layers it held are
 	// no gap in the meantime: paths use another data centre for them.
-	Missing bool
+	Unreachable bool
 	// Streams is the number of streams that pass through it.
 	Streams int
 	// Waited is how long it has held no layers.
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -51,7 +51,7 @@
 func countHolders(members []placer.Member, dc string) []int {
 	out := make([]int, model.Layers)
 	for _, x := range members {
-		if x.Missing || (dc != "" && x.DataCentre != dc) {
+		if x.Unreachable || (dc != "" && x.DataCentre != dc) {
 			continue
 		}
 		for l := x.Held.From; l < x.Held.To; l++ {
@@ -171,7 +171,7 @@
 func TestUnreachableMemberKept(t *testing.T) {
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
-	members[3].Missing = true
+	members[3].Unreachable = true
 	is.New(t).Equal(len(placer.Plan(model, members)), 0)
 }
 
@@ -248,7 +248,7 @@
 				case 0:
 					members[i].Held = placer.Span{}
 				case 1:
-					members[i].Missing = !members[i].Missing
+					members[i].Unreachable = !members[i].Unreachable
 				default:
 					members[i].Pending = !members[i].Pending
 				}
@@ -256,7 +256,7 @@
 				assertFits(t, members)
 			}
 			for i := range members {
-				members[i].Missing, members[i].Pending = false, false
+				members[i].Unreachable, members[i].Pending = false, false
 			}
 			apply(members, placer.Plan(model, members))
 			assertCovered(t, members, "a")
