--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -187,7 +187,7 @@
 		case !known || r.emptySince == 0:
 			o.lastListed[address] = listedMember{*m, now, now}
 		default:
-			m.Waited = now - r.emptySince
+			m.EmptyFor = now - r.emptySince
 		}
 	}
 	for _, address := range slices.Sorted(maps.Keys(o.lastListed)) {
--- a/placer/gaps.go
+++ b/placer/gaps.go
@@ -53,7 +53,7 @@
 		switch {
 		case enoughEmpty:
 			s = leastCoveredSpan(holders, maxLayers(m, x.MB, repairRequests), heldSpans(members))
-		case x.Waited >= spareDelay:
+		case x.EmptyFor >= spareDelay:
 			s = mostLoadedSpan(m, members, x)
 		}
 		if s.Len() > 0 {
--- a/placer/layout_test.go
+++ b/placer/layout_test.go
@@ -50,7 +50,7 @@
 	}
 	apply(members, placer.Plan(roomyModel, members))
 	members[7].Held = placer.Span{}
-	members[7].Waited = time.Second
+	members[7].EmptyFor = time.Second
 	moves := placer.Plan(roomyModel, members)
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].ID, "7")
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -59,8 +59,8 @@
 	Unreachable bool
 	// Streams is the number of streams that pass through it.
 	Streams int
-	// Waited is how long it has held no layers.
-	Waited time.Duration
+	// EmptyFor is how long it has held no layers.
+	EmptyFor time.Duration
 }
 
 // Move is an order to a member to hold a span from now on.
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -225,9 +225,9 @@
 	is := is.New(t)
 	members := fleet("a", 1, 6, 6)
 	apply(members, placer.Plan(model, members))
-	members = append(members, placer.Member{ID: "new", DataCentre: "a", MB: quick.mb, Pace: quick.pace, Waited: time.Second})
+	members = append(members, placer.Member{ID: "new", DataCentre: "a", MB: quick.mb, Pace: quick.pace, EmptyFor: time.Second})
 	is.Equal(len(placer.Plan(model, members)), 0)
-	members[len(members)-1].Waited = 9 * time.Second
+	members[len(members)-1].EmptyFor = 9 * time.Second
 	moves := placer.Plan(model, members)
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].ID, "new")
