--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -196,11 +196,11 @@
 		h.forward.KeysValid = millis(cfg.RevokeMs) - keyMargin
 	}
 	h.register = &registrar.Registrar{
-		Store: h.Store,
-		Entry: registrar.Entry{Name: cfg.Host, Address: cfg.Peer, DataCentre: cfg.DataCentre},
-		Now:   h.Now,
-		Free:  h.freeDuties,
-		Log:   h.Log,
+		Store:      h.Store,
+		Entry:      registrar.Entry{Name: cfg.Host, Address: cfg.Peer, DataCentre: cfg.DataCentre},
+		Now:        h.Now,
+		FreeDuties: h.freeDuties,
+		Log:        h.Log,
 	}
 	if s, ok := h.Store.(storer.Restorable); ok {
 		h.register.Era = s.Era
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -57,9 +57,9 @@
 	// Now is a clock that also advances while the machine is suspended, as a lease expires
 	// even if its holder does not run.
 	Now func() time.Duration
-	// Free lists the data centres whose duty this host should take, as no host is known to
+	// FreeDuties lists the data centres whose duty this host should take, as no host is known to
 	// hold it.
-	Free func() []string
+	FreeDuties func() []string
 	// Era counts how often the store was restored from a copy; nil means never. Leases and
 	// duties from an earlier era are void, even if the store still has them.
 	Era func() int64
@@ -212,7 +212,7 @@
 
 // claimDuties takes the free duties that no host holds, or that an earlier run of this host holds.
 func (r *Registrar) claimDuties(ctx context.Context, lease int64) error {
-	for _, dc := range r.Free() {
+	for _, dc := range r.FreeDuties() {
 		w := storer.Write{Key: DutyPrefix + dc, Value: []byte(r.Entry.Name), Lease: lease}
 		_, err := r.Store.Swap(ctx, w)
 		if errors.Is(err, storer.ErrConflict) {
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -36,7 +36,7 @@
 	h := &testHost{done: make(chan struct{})}
 	h.Registrar = &registrar.Registrar{
 		Store: store, Entry: registrar.Entry{Name: name, Address: name + ":1", DataCentre: "a"},
-		Now: func() time.Duration { return time.Since(started) + time.Duration(h.suspended.Load()) }, Free: free, Era: era, Log: zerolog.Nop(),
+		Now: func() time.Duration { return time.Since(started) + time.Duration(h.suspended.Load()) }, FreeDuties: free, Era: era, Log: zerolog.Nop(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
