--- a/planner/planner.go
+++ b/planner/planner.go
@@ -40,8 +40,8 @@
 	Target Target `json:"target"`
 }
 
-// Orderer sends orders to engines.
-type Orderer interface {
+// EngineClient sends orders to engines.
+type EngineClient interface {
 	// Loaded returns what an engine holds.
 	Loaded(ctx context.Context, address string) (Target, error)
 	// Order returns ErrFenced if the engine has seen a higher fencing token.
@@ -56,7 +56,7 @@
 // Planner gives orders for one data centre. The fields up to Log are set before Run.
 type Planner struct {
 	Store      storer.Store
-	Engines    Orderer
+	Engines    EngineClient
 	Host       string
 	DataCentre string
 	// Lease is the time to live of the lease. Pause is the longest pause of a process that
