--- a/planner/planner.go
+++ b/planner/planner.go
@@ -67,7 +67,7 @@
 	// with the fleet.
 	Candidate func() bool
 	// Wanted returns the engines of this data centre and what each of them should hold.
-	Wanted func() []Wish
+	Wanted func() []Assignment
 	// Serving reports whether an engine may go out of service to load now. It is called
 	// before an order to an engine that does not hold its target.
 	Serving func(upstream string) bool
@@ -84,8 +84,8 @@
 	holding atomic.Bool
 }
 
-// Wish is an engine and its target. ChecksFence is set if the engine refuses stale fencing tokens.
-type Wish struct {
+// Assignment is an engine and its target. ChecksFence is set if the engine refuses stale fencing tokens.
+type Assignment struct {
 	Upstream    builder.Upstream
 	Target      Target
 	ChecksFence bool
@@ -245,7 +245,7 @@
 }
 
 // sendOrder gives one order. It returns an error only if this host no longer holds the lease.
-func (p *Planner) sendOrder(ctx context.Context, t *term, w Wish) error {
+func (p *Planner) sendOrder(ctx context.Context, t *term, w Assignment) error {
 	// A host that was paused past its lease (SIGSTOP, a long garbage collection) resumed in the
 	// belief that it still held the lease, and two hosts loaded different versions into one
 	// engine. So the clock is read right before the call, and the call times out when the
--- a/runner/build.go
+++ b/runner/build.go
@@ -252,7 +252,7 @@
 }
 
 // wanted is the engines of this data centre and what each is to hold.
-func (h *Host) wanted() []planner.Wish {
+func (h *Host) wanted() []planner.Assignment {
 	cfg := h.watch.Current()
 	if cfg == nil {
 		return nil
@@ -261,12 +261,12 @@
 	for _, m := range cfg.Models {
 		versions[m.Name] = m.Version
 	}
-	var out []planner.Wish
+	var out []planner.Assignment
 	for _, u := range cfg.Upstreams {
 		if u.Model == "" || u.DataCentre != h.Settings.DataCentre {
 			continue
 		}
-		out = append(out, planner.Wish{
+		out = append(out, planner.Assignment{
 			Upstream:    u,
 			ChecksFence: u.ChecksFence,
 			Target:      planner.Target{Model: u.Model, Version: versions[u.Model], First: u.FirstLayer, Last: u.LastLayer},
