--- a/planner/planner.go
+++ b/planner/planner.go
@@ -66,8 +66,8 @@
 	// the lease; nil means it is. If all hosts tried, the calls to the platform would grow
 	// with the fleet.
 	Candidate func() bool
-	// Wanted returns the engines of this data centre and what each of them should hold.
-	Wanted func() []Assignment
+	// Assignments returns the engines of this data centre and what each of them should hold.
+	Assignments func() []Assignment
 	// Serving reports whether an engine may go out of service to load now. It is called
 	// before an order to an engine that does not hold its target.
 	Serving func(upstream string) bool
@@ -223,7 +223,7 @@
 
 // reconcile gives an order to each engine that does not hold its target.
 func (p *Planner) reconcile(ctx context.Context, t *term) error {
-	for _, w := range p.Wanted() {
+	for _, w := range p.Assignments() {
 		if !t.leaseValid() {
 			return nil
 		}
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -87,7 +87,7 @@
 func newPlanner(t *testing.T, name, version string, p storer.Store, g *fakeEngine) *planner.Planner {
 	return &planner.Planner{
 		Store: p, Engines: hostClient{g, name}, Host: name, DataCentre: "north", Lease: lease, Pause: pause,
-		Wanted: func() []planner.Assignment {
+		Assignments: func() []planner.Assignment {
 			return []planner.Assignment{{Upstream: builder.Upstream{Name: "e", Address: "e"}, ChecksFence: g.checksFence, Target: planner.Target{Model: "m", Version: version}}}
 		},
 		Serving: func(string) bool { return true },
--- a/runner/build.go
+++ b/runner/build.go
@@ -201,18 +201,18 @@
 func (h *Host) buildPlan() {
 	cfg := h.Settings
 	h.plan = &planner.Planner{
-		Store:      h.store,
-		Engines:    &planner.Client{HTTP: &http.Client{Transport: h.conns}},
-		Host:       cfg.Host,
-		DataCentre: cfg.DataCentre,
-		Lease:      ms(cfg.Timing.LeaseMs),
-		Pause:      ms(cfg.Timing.PauseMs),
-		Candidate:  func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
-		Wanted:     h.wanted,
-		Serving:    func(string) bool { return true },
-		Spacing:    h.spacing,
-		Checker:    h.Checker,
-		Log:        h.Log,
+		Store:       h.store,
+		Engines:     &planner.Client{HTTP: &http.Client{Transport: h.conns}},
+		Host:        cfg.Host,
+		DataCentre:  cfg.DataCentre,
+		Lease:       ms(cfg.Timing.LeaseMs),
+		Pause:       ms(cfg.Timing.PauseMs),
+		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
+		Assignments: h.wanted,
+		Serving:     func(string) bool { return true },
+		Spacing:     h.spacing,
+		Checker:     h.Checker,
+		Log:         h.Log,
 	}
 }
 
