--- a/planner/planner.go
+++ b/planner/planner.go
@@ -68,9 +68,9 @@
 	Candidate func() bool
 	// Assignments returns the engines of this data centre and what each of them should hold.
 	Assignments func() []Assignment
-	// Serving reports whether an engine may go out of service to load now. It is called
+	// MayLoad reports whether an engine may go out of service to load now. It is called
 	// before an order to an engine that does not hold its target.
-	Serving func(upstream string) bool
+	MayLoad func(upstream string) bool
 	// Spacing returns how long to wait after a load of t, so that the loads stay within the
 	// rate of the weight store.
 	Spacing func(t Target) time.Duration
@@ -231,7 +231,7 @@
 			continue
 		}
 		loaded, err := p.Engines.Loaded(ctx, w.Upstream.Address)
-		if err != nil || loaded == w.Target || !p.Serving(w.Upstream.Name) {
+		if err != nil || loaded == w.Target || !p.MayLoad(w.Upstream.Name) {
 			continue
 		}
 		if err := p.sendOrder(ctx, t, w); err != nil {
--- a/runner/build.go
+++ b/runner/build.go
@@ -209,7 +209,7 @@
 		Pause:       ms(cfg.Timing.PauseMs),
 		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
 		Assignments: h.wanted,
-		Serving:     func(string) bool { return true },
+		MayLoad:     func(string) bool { return true },
 		Spacing:     h.spacing,
 		Checker:     h.Checker,
 		Log:         h.Log,
