--- a/planner/planner.go
+++ b/planner/planner.go
@@ -71,11 +71,11 @@
 	// MayLoad reports whether an engine may go out of service to load now. It is called
 	// before an order to an engine that does not hold its target.
 	MayLoad func(upstream string) bool
-	// Spacing returns how long to wait after a load of t, so that the loads stay within the
+	// LoadSpacing returns how long to wait after a load of t, so that the loads stay within the
 	// rate of the weight store.
-	Spacing func(t Target) time.Duration
-	Checker *checker.Checker
-	Log     zerolog.Logger
+	LoadSpacing func(t Target) time.Duration
+	Checker     *checker.Checker
+	Log         zerolog.Logger
 	// Orders counts the orders given.
 	Orders atomic.Int64
 	// Fenced counts the orders refused for a stale fencing token.
@@ -237,7 +237,7 @@
 		if err := p.sendOrder(ctx, t, w); err != nil {
 			return err
 		}
-		if !p.waitSpacing(ctx, t, p.Spacing(w.Target)) {
+		if !p.waitSpacing(ctx, t, p.LoadSpacing(w.Target)) {
 			return nil
 		}
 	}
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -90,9 +90,9 @@
 		Assignments: func() []planner.Assignment {
 			return []planner.Assignment{{Upstream: builder.Upstream{Name: "e", Address: "e"}, ChecksFence: g.checksFence, Target: planner.Target{Model: "m", Version: version}}}
 		},
-		MayLoad: func(string) bool { return true },
-		Spacing: func(planner.Target) time.Duration { return 0 },
-		Checker: &checker.Checker{Fail: func(v checker.Violation) { t.Error(v) }},
+		MayLoad:     func(string) bool { return true },
+		LoadSpacing: func(planner.Target) time.Duration { return 0 },
+		Checker:     &checker.Checker{Fail: func(v checker.Violation) { t.Error(v) }},
 	}
 }
 
--- a/runner/build.go
+++ b/runner/build.go
@@ -210,7 +210,7 @@
 		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
 		Assignments: h.wanted,
 		MayLoad:     func(string) bool { return true },
-		Spacing:     h.spacing,
+		LoadSpacing: h.spacing,
 		Checker:     h.Checker,
 		Log:         h.Log,
 	}
