--- a/planner/planner.go
+++ b/planner/planner.go
@@ -59,9 +59,9 @@
 	Engines    EngineClient
 	Host       string
 	DataCentre string
-	// Lease is the time to live of the lease. Pause is the longest pause of a process that
+	// LeaseTTL is the time to live of the lease. Pause is the longest pause of a process that
 	// the planner guards against.
-	Lease, Pause time.Duration
+	LeaseTTL, Pause time.Duration
 	// Candidate reports whether this host is among the few of its data centre that try for
 	// the lease; nil means it is. If all hosts tried, the calls to the platform would grow
 	// with the fleet.
@@ -116,7 +116,7 @@
 			p.holdLease(ctx, t)
 			p.holding.Store(false)
 		}
-		sleep(ctx, p.Lease/2)
+		sleep(ctx, p.LeaseTTL/2)
 	}
 }
 
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	start := time.Now()
-	lease, err := p.Store.Grant(ctx, p.Lease)
+	lease, err := p.Store.Grant(ctx, p.LeaseTTL)
 	if err != nil {
 		return nil, err
 	}
@@ -151,11 +151,11 @@
 	return &term{
 		lease:     lease,
 		fence:     fence,
-		expiresAt: start.Add(p.Lease),
+		expiresAt: start.Add(p.LeaseTTL),
 		// The previous holder may have been paused right after it checked its lease, and then
 		// gives one more order when it resumes. It checks its lease again within Pause. Until
 		// then, engines that would not refuse its order get none from this host.
-		unfencedAfter: start.Add(p.Lease + p.Pause),
+		unfencedAfter: start.Add(p.LeaseTTL + p.Pause),
 	}, nil
 }
 
@@ -184,7 +184,7 @@
 // holdLease extends the lease and gives orders until either fails.
 func (p *Planner) holdLease(ctx context.Context, t *term) {
 	defer p.revoke(ctx, t.lease)
-	limiter := rate.NewLimiter(rate.Every(p.Lease/4), 1)
+	limiter := rate.NewLimiter(rate.Every(p.LeaseTTL/4), 1)
 	for limiter.Wait(ctx) == nil {
 		if !p.extendLease(ctx, t) {
 			p.Log.Warn().Int64("fence", t.fence).Msg("planner: lease lost")
@@ -199,7 +199,7 @@
 
 // revoke revokes a lease. If that fails, the lease expires by itself.
 func (p *Planner) revoke(ctx context.Context, lease int64) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Lease)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.LeaseTTL)
 	defer cancel()
 	if err := p.Store.Revoke(ctx, lease); err != nil {
 		p.Log.Debug().Err(err).Msg("planner: lease not revoked, it will expire")
@@ -212,7 +212,7 @@
 	start := time.Now()
 	err := p.Store.KeepAlive(ctx, t.lease)
 	if err == nil {
-		t.expiresAt = start.Add(p.Lease)
+		t.expiresAt = start.Add(p.LeaseTTL)
 		return true
 	}
 	return !errors.Is(err, storer.ErrLease) && t.leaseValid()
@@ -275,7 +275,7 @@
 func (p *Planner) waitSpacing(ctx context.Context, t *term, d time.Duration) bool {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		sleep(ctx, min(time.Until(end), p.Lease/4))
+		sleep(ctx, min(time.Until(end), p.LeaseTTL/4))
 		if !p.extendLease(ctx, t) {
 			return false
 		}
--- a/runner/build.go
+++ b/runner/build.go
@@ -205,7 +205,7 @@
 		Engines:     &planner.Client{HTTP: &http.Client{Transport: h.conns}},
 		Host:        cfg.Host,
 		DataCentre:  cfg.DataCentre,
-		Lease:       ms(cfg.Timing.LeaseMs),
+		LeaseTTL:    ms(cfg.Timing.LeaseMs),
 		Pause:       ms(cfg.Timing.PauseMs),
 		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
 		Assignments: h.wanted,
