--- a/planner/planner.go
+++ b/planner/planner.go
@@ -61,7 +61,7 @@
 	DataCentre string
 	// LeaseTTL is the time to live of the lease. Pause is the longest pause of a process that
 	// the planner guards against.
-	LeaseTTL, Pause time.Duration
+	LeaseTTL, MaxPause time.Duration
 	// Candidate reports whether this host is among the few of its data centre that try for
 	// the lease; nil means it is. If all hosts tried, the calls to the platform would grow
 	// with the fleet.
@@ -155,7 +155,7 @@
 		// The previous holder may have been paused right after it checked its lease, and then
 		// gives one more order when it resumes. It checks its lease again within Pause. Until
 		// then, engines that would not refuse its order get none from this host.
-		unfencedAfter: start.Add(p.LeaseTTL + p.Pause),
+		unfencedAfter: start.Add(p.LeaseTTL + p.MaxPause),
 	}, nil
 }
 
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -86,7 +86,7 @@
 // newPlanner returns the planner of a host that wants a version.
 func newPlanner(t *testing.T, name, version string, p storer.Store, g *fakeEngine) *planner.Planner {
 	return &planner.Planner{
-		Store: p, Engines: hostClient{g, name}, Host: name, DataCentre: "north", LeaseTTL: lease, Pause: pause,
+		Store: p, Engines: hostClient{g, name}, Host: name, DataCentre: "north", LeaseTTL: lease, MaxPause: pause,
 		Assignments: func() []planner.Assignment {
 			return []planner.Assignment{{Upstream: builder.Upstream{Name: "e", Address: "e"}, ChecksFence: g.checksFence, Target: planner.Target{Model: "m", Version: version}}}
 		},
--- a/runner/build.go
+++ b/runner/build.go
@@ -206,7 +206,7 @@
 		Host:        cfg.Host,
 		DataCentre:  cfg.DataCentre,
 		LeaseTTL:    ms(cfg.Timing.LeaseMs),
-		Pause:       ms(cfg.Timing.PauseMs),
+		MaxPause:    ms(cfg.Timing.PauseMs),
 		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
 		Assignments: h.wanted,
 		MayLoad:     func(string) bool { return true },
