--- a/planner/planner.go
+++ b/planner/planner.go
@@ -78,8 +78,8 @@
 	Log         zerolog.Logger
 	// Orders counts the orders given.
 	Orders atomic.Int64
-	// Fenced counts the orders refused for a stale fencing token.
-	Fenced atomic.Int64
+	// FencedOrders counts the orders refused for a stale fencing token.
+	FencedOrders atomic.Int64
 
 	holding atomic.Bool
 }
@@ -258,7 +258,7 @@
 	p.Checker.Assert(t.leaseValid(), checker.InvariantOrder, "", "order with fencing token %d after the lease expired", t.fence)
 	err := p.Engines.Order(ctx, w.Upstream.Address, Order{Fence: t.fence, Target: w.Target})
 	if errors.Is(err, ErrFenced) {
-		p.Fenced.Add(1)
+		p.FencedOrders.Add(1)
 		return err
 	}
 	if err != nil {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -228,7 +228,7 @@
 		defer cancel()
 		p.Run(ctx)
 		is := is.New(t)
-		is.True(p.Fenced.Load() > 0)
+		is.True(p.FencedOrders.Load() > 0)
 		is.Equal(p.Orders.Load(), int64(0))
 	})
 }
