--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -34,8 +34,8 @@
 	// Place orders an upstream to hold a span of layers. expected is the number of orders
 	// that it must have taken before; otherwise the error wraps ErrRefused.
 	Place(ctx context.Context, address string, span balancer.Span, expected int64) error
-	// Taken returns the number of orders that an upstream has taken since its start.
-	Taken(ctx context.Context, address string) (int64, error)
+	// OrderCount returns the number of orders that an upstream has taken since its start.
+	OrderCount(ctx context.Context, address string) (int64, error)
 }
 
 const (
@@ -335,7 +335,7 @@
 
 // fetchCount asks an upstream for the number of orders that it has taken.
 func (o *Orderer) fetchCount(ctx context.Context, u *balancer.Member) {
-	n, err := o.Engines.Taken(ctx, u.Address)
+	n, err := o.Engines.OrderCount(ctx, u.Address)
 	if err != nil {
 		o.Log.Debug().Err(err).Str("upstream", u.ID).Msg("orderer: reading the order count failed")
 		return
