--- a/faker/stage.go
+++ b/faker/stage.go
@@ -237,8 +237,8 @@
 // Place implements orderer.Engines.
 func (NoEngines) Place(context.Context, string, balancer.Span, int64) error { return nil }
 
-// Taken implements orderer.Engines.
-func (NoEngines) Taken(context.Context, string) (int64, error) { return 0, nil }
+// OrderCount implements orderer.Engines.
+func (NoEngines) OrderCount(context.Context, string) (int64, error) { return 0, nil }
 
 // Repath implements forwarder.Engines.
 func (NoEngines) Repath(context.Context, string, []balancer.Hop) error { return errAway }
