--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (e *fakeEngines) Taken(_ context.Context, address string) (int64, error) {
+func (e *fakeEngines) OrderCount(_ context.Context, address string) (int64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orderCounts[address], nil
