--- a/faker/directory.go
+++ b/faker/directory.go
@@ -131,7 +131,7 @@
 }
 
 // Load implements follower.Source.
-func (d *Directory) Load(context.Context, follower.Turn) (*follower.Changes, error) {
+func (d *Directory) Load(context.Context, follower.LoadDelay) (*follower.Changes, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.away {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -56,15 +56,15 @@
 	DataCentre string `json:"dataCentre"`
 }
 
-// Turn returns how long a starting host, given the other hosts, must wait before it reads long
+// LoadDelay returns how long a starting host, given the other hosts, must wait before it reads long
 // lists.
-type Turn func(others []Host) time.Duration
+type LoadDelay func(others []Host) time.Duration
 
 // Source is the store in which configuration, upstreams and entry hosts are declared.
 type Source interface {
 	// Load reads everything. If the lists are long, it first reads the hosts and waits for the time
 	// that delay returns for them.
-	Load(ctx context.Context, delay Turn) (*Changes, error)
+	Load(ctx context.Context, delay LoadDelay) (*Changes, error)
 	// Changes returns what changed after a position: at once if anything did, else after wait at
 	// the latest. It returns ErrCompacted if the source no longer knows these changes.
 	Changes(ctx context.Context, after Position, wait time.Duration) (*Changes, error)
--- a/follower/large_test.go
+++ b/follower/large_test.go
@@ -25,7 +25,7 @@
 	entryCalls atomic.Int64
 }
 
-func (l *slowSource) Load(ctx context.Context, delay follower.Turn) (*follower.Changes, error) {
+func (l *slowSource) Load(ctx context.Context, delay follower.LoadDelay) (*follower.Changes, error) {
 	l.entryCalls.Add(1)
 	select {
 	case <-time.After(l.loadDuration):
@@ -130,7 +130,7 @@
 	delays chan time.Duration
 }
 
-func (s *loadDelaySource) Load(ctx context.Context, delay follower.Turn) (*follower.Changes, error) {
+func (s *loadDelaySource) Load(ctx context.Context, delay follower.LoadDelay) (*follower.Changes, error) {
 	select {
 	case s.delays <- delay(s.others):
 	default:
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -86,7 +86,7 @@
 	self string
 }
 
-func (o others) Load(ctx context.Context, turn follower.Turn) (*follower.Changes, error) {
+func (o others) Load(ctx context.Context, turn follower.LoadDelay) (*follower.Changes, error) {
 	return o.without(o.Directory.Load(ctx, turn))
 }
 
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -50,7 +50,7 @@
 	fleet *fleet
 }
 
-func (v sourceView) Load(ctx context.Context, turn follower.Turn) (*follower.Changes, error) {
+func (v sourceView) Load(ctx context.Context, turn follower.LoadDelay) (*follower.Changes, error) {
 	return v.withoutSelf(v.fleet.source.Load(ctx, turn))
 }
 
