--- a/follower/large_test.go
+++ b/follower/large_test.go
@@ -81,7 +81,7 @@
 		time.Sleep(500 * time.Millisecond)
 		before := src.entryCalls.Load()
 		src.Configure(&matcher.Configuration{Version: 4})
-		fol.Told(fol.Now(), &follower.State{Version: 4, Position: fol.Position()})
+		fol.ApplyPeerState(fol.Now(), &follower.State{Version: 4, Position: fol.Position()})
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(fol.Table().Version, int64(4))
 		is.Equal(src.entryCalls.Load(), before)
--- a/follower/peers.go
+++ b/follower/peers.go
@@ -40,10 +40,10 @@
 	return out
 }
 
-// Told applies the state with which a peer answered a call that this host sent at sent. If the peer
+// ApplyPeerState applies the state with which a peer answered a call that this host sent at sent. If the peer
 // has a newer configuration or changes that it cannot send, this host reads the source itself: a
 // configuration is too large to be sent over the link of one host to all others.
-func (f *Follower) Told(sent time.Duration, s *State) {
+func (f *Follower) ApplyPeerState(sent time.Duration, s *State) {
 	f.mu.Lock()
 	applied := f.applyPeerState(sent, s)
 	f.mu.Unlock()
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -92,7 +92,7 @@
 			time.Sleep(3 * time.Second)
 			at := fol.Position()
 			is.True(at.Era > before.Era)
-			fol.Told(fol.Now(), &follower.State{Version: 3, Position: before, Update: &follower.Update{After: at, Position: before}})
+			fol.ApplyPeerState(fol.Now(), &follower.State{Version: 3, Position: before, Update: &follower.Update{After: at, Position: before}})
 			fol.Listed(nil, before)
 			is.Equal(fol.Position(), at)
 			is.True(isListed(b, "one"))
--- a/follower/update_test.go
+++ b/follower/update_test.go
@@ -57,7 +57,7 @@
 		is.True(isListed(b, "one"))
 		src.List(balancer.Upstream{ID: "one", Address: "1"})
 		at := fol.Position()
-		fol.Told(7*time.Second, &follower.State{Version: 3, Position: plus(at, 1), Update: &follower.Update{After: at, Position: plus(at, 1)}})
+		fol.ApplyPeerState(7*time.Second, &follower.State{Version: 3, Position: plus(at, 1), Update: &follower.Update{After: at, Position: plus(at, 1)}})
 		time.Sleep(5 * time.Second)
 		is.True(isListed(b, "one"))
 	})
@@ -75,7 +75,7 @@
 			time.Sleep(1065 * time.Millisecond) // at another phase of the poll cycle each time
 			at := fol.Position()
 			update := &follower.Update{After: at, Position: plus(at, 2), Listed: []balancer.Upstream{leaving}}
-			fol.Told(0, &follower.State{Version: 3, Position: plus(at, 2), Update: update})
+			fol.ApplyPeerState(0, &follower.State{Version: 3, Position: plus(at, 2), Update: update})
 			src.List(ready) // the change before the one in the update
 			time.Sleep(20 * time.Millisecond)
 			is.True(b.Listed()[0].Leaving)
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -297,7 +297,7 @@
 		}
 	}
 	at := follower.Position{Era: resp.Era, Revision: resp.Revision}
-	s.Follower.Told(sent, &follower.State{
+	s.Follower.ApplyPeerState(sent, &follower.State{
 		Peer: c.host.Name, Version: resp.Version, Position: at, Age: millis(resp.AgeMs), ReadAge: millis(resp.ReadAgeMs), Update: update,
 	})
 	list, err := decode[[]balancer.Upstream](resp.Upstreams)
