--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -158,12 +158,12 @@
 		src.SetAway(true)
 		time.Sleep(10 * time.Second)
 		sent := 12 * time.Second
-		fol.Heard(sent, time.Second, 4, nil) // the peer reports a version that this host does not have
+		fol.ApplyPeerConfiguration(sent, time.Second, 4, nil) // the peer reports a version that this host does not have
 		is.True(fol.Age() > 9*time.Second)
-		fol.Heard(sent, time.Second, 4, &matcher.Configuration{Version: 4})
+		fol.ApplyPeerConfiguration(sent, time.Second, 4, &matcher.Configuration{Version: 4})
 		is.True(fol.Age() < 2*time.Second)
 		is.True(fol.OwnAge() > 9*time.Second)
-		fol.Heard(sent, time.Second, 2, &matcher.Configuration{Version: 2})
+		fol.ApplyPeerConfiguration(sent, time.Second, 2, &matcher.Configuration{Version: 2})
 		is.Equal(fol.Table().Version, int64(4))
 	})
 }
--- a/follower/peers.go
+++ b/follower/peers.go
@@ -96,11 +96,11 @@
 	return applied
 }
 
-// Heard applies the version and the age with which a peer answered a call that this host sent at
+// ApplyPeerConfiguration applies the version and the age with which a peer answered a call that this host sent at
 // sent, and the configuration if the peer sent one. This keeps a host that the source refuses as
 // current as its peers. Only answers count, because the transit time of a call from a peer is not
 // known.
-func (f *Follower) Heard(sent, age time.Duration, version int64, cfg *matcher.Configuration) {
+func (f *Follower) ApplyPeerConfiguration(sent, age time.Duration, version int64, cfg *matcher.Configuration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.configure(cfg)
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -283,7 +283,7 @@
 	if err != nil {
 		return err
 	}
-	s.Follower.Heard(sent, millis(resp.AgeMs), resp.Version, cfg)
+	s.Follower.ApplyPeerConfiguration(sent, millis(resp.AgeMs), resp.Version, cfg)
 	if !c.full && !c.changes {
 		return nil
 	}
