--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -192,13 +192,13 @@
 		src.List(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
 		time.Sleep(time.Second)
 		is.True(leaving())
-		fol.Listed([]balancer.Upstream{{ID: "one", Address: "1"}}, before)
+		fol.ApplyPeerUpstreams([]balancer.Upstream{{ID: "one", Address: "1"}}, before)
 		is.True(leaving())
-		fol.Listed([]balancer.Upstream{{ID: "one", Address: "1"}}, fol.Position())
+		fol.ApplyPeerUpstreams([]balancer.Upstream{{ID: "one", Address: "1"}}, fol.Position())
 		is.True(leaving()) // at the same position, what this host read itself wins
-		fol.Listed([]balancer.Upstream{{ID: "one", Address: "1"}, {ID: "two", Address: "2"}}, plus(fol.Position(), 2))
+		fol.ApplyPeerUpstreams([]balancer.Upstream{{ID: "one", Address: "1"}, {ID: "two", Address: "2"}}, plus(fol.Position(), 2))
 		is.Equal(len(b.IDs()), 2)
-		fol.Listed([]balancer.Upstream{{ID: "one", Address: "1"}}, plus(fol.Position(), 1))
+		fol.ApplyPeerUpstreams([]balancer.Upstream{{ID: "one", Address: "1"}}, plus(fol.Position(), 1))
 		is.Equal(len(b.IDs()), 2) // the peer is at an older position
 	})
 }
--- a/follower/peers.go
+++ b/follower/peers.go
@@ -111,10 +111,10 @@
 	f.confirmedAt.Store(max(f.confirmedAt.Load(), int64(sent-age)))
 }
 
-// Listed applies the full list of upstreams that a peer knew at a position of the source, unless
+// ApplyPeerUpstreams applies the full list of upstreams that a peer knew at a position of the source, unless
 // this host has read a later one: a host that was suspended may receive an answer that is seconds
 // old.
-func (f *Follower) Listed(list []balancer.Upstream, at Position) {
+func (f *Follower) ApplyPeerUpstreams(list []balancer.Upstream, at Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest := later(f.position, f.peerListPosition)
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -93,7 +93,7 @@
 			at := fol.Position()
 			is.True(at.Era > before.Era)
 			fol.ApplyPeerState(fol.Now(), &follower.State{Version: 3, Position: before, Update: &follower.Update{After: at, Position: before}})
-			fol.Listed(nil, before)
+			fol.ApplyPeerUpstreams(nil, before)
 			is.Equal(fol.Position(), at)
 			is.True(isListed(b, "one"))
 		})
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -305,7 +305,7 @@
 		return err
 	}
 	if list != nil {
-		s.Follower.Listed(*list, at)
+		s.Follower.ApplyPeerUpstreams(*list, at)
 	}
 	return nil
 }
