--- a/follower/follower.go
+++ b/follower/follower.go
@@ -116,9 +116,9 @@
 	Now func() time.Duration
 	// OnChange is called after each change that was applied; nil means no call.
 	OnChange func()
-	// Reads reports whether this host reads the source itself. Other hosts get changes from their
+	// ReadsSource reports whether this host reads the source itself. Other hosts get changes from their
 	// peers, and read the source only while these are silent or out of date; nil means always.
-	Reads func() bool
+	ReadsSource func() bool
 	// Readers returns how many hosts read the source; nil means all of them.
 	Readers func() int
 	Log     zerolog.Logger
@@ -251,7 +251,7 @@
 
 // servedByPeers reports whether this host gets changes from its peers and need not read the source.
 func (f *Follower) servedByPeers() bool {
-	return f.Reads != nil && !f.Reads() && !f.outdated() && f.ReadAge() < fallbackAge
+	return f.ReadsSource != nil && !f.ReadsSource() && !f.outdated() && f.ReadAge() < fallbackAge
 }
 
 // outdated reports whether a peer knows more than it could send to this host, or entries that
@@ -307,7 +307,7 @@
 // lacksOnlyConfiguration reports whether a newer configuration is the only thing that peers know
 // and could not send to this host.
 func (f *Follower) lacksOnlyConfiguration() bool {
-	if f.Reads == nil || f.Reads() || f.ReadAge() >= fallbackAge {
+	if f.ReadsSource == nil || f.ReadsSource() || f.ReadAge() >= fallbackAge {
 		return false
 	}
 	f.mu.Lock()
--- a/follower/large_test.go
+++ b/follower/large_test.go
@@ -49,7 +49,7 @@
 		src.List(balancer.Upstream{ID: "one", Address: "1"})
 		started := time.Now()
 		now := func() time.Duration { return time.Since(started) + time.Second }
-		fol := &follower.Follower{Source: src, Balancer: new(balancer.Balancer), Now: now, Reads: reads}
+		fol := &follower.Follower{Source: src, Balancer: new(balancer.Balancer), Now: now, ReadsSource: reads}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
