--- a/follower/follower.go
+++ b/follower/follower.go
@@ -119,9 +119,9 @@
 	// ReadsSource reports whether this host reads the source itself. Other hosts get changes from their
 	// peers, and read the source only while these are silent or out of date; nil means always.
 	ReadsSource func() bool
-	// Readers returns how many hosts read the source; nil means all of them.
-	Readers func() int
-	Log     zerolog.Logger
+	// ReaderCount returns how many hosts read the source; nil means all of them.
+	ReaderCount func() int
+	Log         zerolog.Logger
 
 	table atomic.Pointer[matcher.Table]
 	// cfg is the configuration from which table was built.
@@ -271,8 +271,8 @@
 // interval grows with the number of hosts that read it.
 func (f *Follower) pollInterval() time.Duration {
 	readers := len(f.Hosts()) + 1
-	if f.Readers != nil {
-		readers = f.Readers()
+	if f.ReaderCount != nil {
+		readers = f.ReaderCount()
 	}
 	return min(maxPollInterval, max(minPollInterval, pollIntervalPerReader*time.Duration(readers)))
 }
