--- a/faker/directory.go
+++ b/faker/directory.go
@@ -187,7 +187,7 @@
 		case c.hostGone != "":
 			out.HostsGone = append(out.HostsGone, c.hostGone)
 		default:
-			out.Gone = append(out.Gone, c.gone)
+			out.Removed = append(out.Removed, c.gone)
 		}
 	}
 	return out, nil
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -32,8 +32,8 @@
 	// Configuration is nil if it has not changed.
 	Configuration *matcher.Configuration
 	// Listed holds new or changed upstreams, Gone the ids of those whose entry was removed.
-	Listed []balancer.Upstream
-	Gone   []string
+	Listed  []balancer.Upstream
+	Removed []string
 	// Hosts holds new or changed entry hosts, HostsGone the names of those whose entry was removed.
 	Hosts     []Host
 	HostsGone []string
@@ -374,7 +374,7 @@
 	}
 	for _, id := range f.Balancer.IDs() {
 		if !listed[id] {
-			ch.Gone = append(ch.Gone, id)
+			ch.Removed = append(ch.Removed, id)
 		}
 	}
 	f.mu.Lock()
@@ -501,7 +501,7 @@
 	// entry is removed later has left. Entries of hosts expire in an outage together with their
 	// leases and are removed at once, but a restored source may lack entries of hosts that are
 	// alive.
-	removed = deferRemoval(f.missingUpstreams, ch.Gone, f.afterOutage, now)
+	removed = deferRemoval(f.missingUpstreams, ch.Removed, f.afterOutage, now)
 	removedHosts = deferRemoval(f.missingHosts, ch.HostsGone, f.afterOutage && ch.Era > f.position.Era, now)
 	f.afterOutage = false
 	for i := range ch.Listed {
