--- a/faker/directory.go
+++ b/faker/directory.go
@@ -185,7 +185,7 @@
 		case c.host != nil:
 			out.Hosts = append(out.Hosts, *c.host)
 		case c.hostGone != "":
-			out.HostsGone = append(out.HostsGone, c.hostGone)
+			out.RemovedHosts = append(out.RemovedHosts, c.hostGone)
 		default:
 			out.Removed = append(out.Removed, c.gone)
 		}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -35,8 +35,8 @@
 	Listed  []balancer.Upstream
 	Removed []string
 	// Hosts holds new or changed entry hosts, HostsGone the names of those whose entry was removed.
-	Hosts     []Host
-	HostsGone []string
+	Hosts        []Host
+	RemovedHosts []string
 	// Duties holds the data centres whose duty changed hands.
 	Duties []Duty
 }
@@ -384,7 +384,7 @@
 	}
 	for name := range f.hosts {
 		if !known[name] {
-			ch.HostsGone = append(ch.HostsGone, name)
+			ch.RemovedHosts = append(ch.RemovedHosts, name)
 		}
 	}
 	held := make(map[string]bool, len(ch.Duties))
@@ -502,7 +502,7 @@
 	// leases and are removed at once, but a restored source may lack entries of hosts that are
 	// alive.
 	removed = deferRemoval(f.missingUpstreams, ch.Removed, f.afterOutage, now)
-	removedHosts = deferRemoval(f.missingHosts, ch.HostsGone, f.afterOutage && ch.Era > f.position.Era, now)
+	removedHosts = deferRemoval(f.missingHosts, ch.RemovedHosts, f.afterOutage && ch.Era > f.position.Era, now)
 	f.afterOutage = false
 	for i := range ch.Listed {
 		if _, missing := f.missingUpstreams[ch.Listed[i].ID]; missing {
