--- a/follower/follower.go
+++ b/follower/follower.go
@@ -481,7 +481,7 @@
 	if current {
 		removed, removedHosts, returned := f.resolveMissing(ch)
 		f.advance(&Update{
-			After: f.position, Position: ch.Position, Listed: ch.Listed, Gone: removed,
+			After: f.position, Position: ch.Position, Listed: ch.Listed, Removed: removed,
 			Hosts: ch.Hosts, HostsGone: removedHosts, Duties: ch.Duties,
 		}, returned, sent)
 		f.confirmConfiguration(sent)
@@ -553,7 +553,7 @@
 	for _, d := range u.Duties {
 		f.holders[d.DataCentre] = d.Holder
 	}
-	u.Listed, u.Gone = f.Balancer.List(u.Listed, u.Gone)
+	u.Listed, u.Removed = f.Balancer.List(u.Listed, u.Removed)
 	u.Listed = withReturned(u.Listed, returned)
 	f.position = u.Position
 	f.history.add(u)
--- a/follower/update.go
+++ b/follower/update.go
@@ -13,8 +13,8 @@
 	// After is the position at which the update starts, Position the one it leads to.
 	After Position `json:"from"`
 	Position
-	// Gone is applied before Listed: an upstream that was removed and added again is in both.
-	Gone      []string            `json:"gone,omitempty"`
+	// Removed is applied before Listed: an upstream that was removed and added again is in both.
+	Removed   []string            `json:"gone,omitempty"`
 	Listed    []balancer.Upstream `json:"listed,omitempty"`
 	HostsGone []string            `json:"hostsGone,omitempty"`
 	Hosts     []Host              `json:"hosts,omitempty"`
@@ -40,7 +40,7 @@
 }
 
 func (u *Update) empty() bool {
-	return len(u.Gone)+len(u.Listed)+len(u.HostsGone)+len(u.Hosts)+len(u.Duties) == 0
+	return len(u.Removed)+len(u.Listed)+len(u.HostsGone)+len(u.Hosts)+len(u.Duties) == 0
 }
 
 // updateMerger joins consecutive updates into one. Its cost grows with the number of entries.
@@ -60,7 +60,7 @@
 
 // add appends an update that is later than all added before.
 func (m *updateMerger) add(u *Update) {
-	for _, id := range u.Gone {
+	for _, id := range u.Removed {
 		delete(m.listed, id)
 		m.removed[id] = true
 	}
@@ -82,7 +82,7 @@
 
 // update returns everything that was added as one update.
 func (m *updateMerger) update(after, upTo Position) *Update {
-	out := &Update{After: after, Position: upTo, Gone: slices.Sorted(maps.Keys(m.removed)), HostsGone: slices.Sorted(maps.Keys(m.removedHosts))}
+	out := &Update{After: after, Position: upTo, Removed: slices.Sorted(maps.Keys(m.removed)), HostsGone: slices.Sorted(maps.Keys(m.removedHosts))}
 	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
 		out.Listed = append(out.Listed, m.listed[id])
 	}
