--- a/follower/follower.go
+++ b/follower/follower.go
@@ -482,7 +482,7 @@
 		removed, removedHosts, returned := f.resolveMissing(ch)
 		f.advance(&Update{
 			After: f.position, Position: ch.Position, Listed: ch.Listed, Removed: removed,
-			Hosts: ch.Hosts, HostsGone: removedHosts, Duties: ch.Duties,
+			Hosts: ch.Hosts, RemovedHosts: removedHosts, Duties: ch.Duties,
 		}, returned, sent)
 		f.confirmConfiguration(sent)
 	}
@@ -547,7 +547,7 @@
 	for _, h := range u.Hosts {
 		f.hosts[h.Name] = h
 	}
-	for _, name := range u.HostsGone {
+	for _, name := range u.RemovedHosts {
 		delete(f.hosts, name)
 	}
 	for _, d := range u.Duties {
--- a/follower/update.go
+++ b/follower/update.go
@@ -14,11 +14,11 @@
 	After Position `json:"from"`
 	Position
 	// Removed is applied before Listed: an upstream that was removed and added again is in both.
-	Removed   []string            `json:"gone,omitempty"`
-	Listed    []balancer.Upstream `json:"listed,omitempty"`
-	HostsGone []string            `json:"hostsGone,omitempty"`
-	Hosts     []Host              `json:"hosts,omitempty"`
-	Duties    []Duty              `json:"duties,omitempty"`
+	Removed      []string            `json:"gone,omitempty"`
+	Listed       []balancer.Upstream `json:"listed,omitempty"`
+	RemovedHosts []string            `json:"hostsGone,omitempty"`
+	Hosts        []Host              `json:"hosts,omitempty"`
+	Duties       []Duty              `json:"duties,omitempty"`
 }
 
 // Check returns an error if an update received from a peer is invalid.
@@ -40,7 +40,7 @@
 }
 
 func (u *Update) empty() bool {
-	return len(u.Removed)+len(u.Listed)+len(u.HostsGone)+len(u.Hosts)+len(u.Duties) == 0
+	return len(u.Removed)+len(u.Listed)+len(u.RemovedHosts)+len(u.Hosts)+len(u.Duties) == 0
 }
 
 // updateMerger joins consecutive updates into one. Its cost grows with the number of entries.
@@ -67,7 +67,7 @@
 	for i := range u.Listed {
 		m.listed[u.Listed[i].ID] = u.Listed[i]
 	}
-	for _, name := range u.HostsGone {
+	for _, name := range u.RemovedHosts {
 		delete(m.hosts, name)
 		m.removedHosts[name] = true
 	}
@@ -82,7 +82,7 @@
 
 // update returns everything that was added as one update.
 func (m *updateMerger) update(after, upTo Position) *Update {
-	out := &Update{After: after, Position: upTo, Removed: slices.Sorted(maps.Keys(m.removed)), HostsGone: slices.Sorted(maps.Keys(m.removedHosts))}
+	out := &Update{After: after, Position: upTo, Removed: slices.Sorted(maps.Keys(m.removed)), RemovedHosts: slices.Sorted(maps.Keys(m.removedHosts))}
 	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
 		out.Listed = append(out.Listed, m.listed[id])
 	}
