--- a/sharer/roles.go
+++ b/sharer/roles.go
@@ -202,8 +202,8 @@
 	return r.relay
 }
 
-// Reads reports whether this host reads the source itself.
-func (s *Sharer) Reads() bool { return s.roles.isReader(s.Now()) }
+// ReadsSource reports whether this host reads the source itself.
+func (s *Sharer) ReadsSource() bool { return s.roles.isReader(s.Now()) }
 
 // Relays reports whether this host is a relay of its data centre.
 func (s *Sharer) Relays() bool { return s.roles.isRelay() }
