--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -215,7 +215,7 @@
 		HTTP:       &http.Client{Transport: &http.Transport{DialContext: h.Dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}},
 		Log:        h.Log,
 	}
-	h.follow.ReadsSource, h.follow.ReaderCount = h.share.ReadsSource, h.share.Readers
+	h.follow.ReadsSource, h.follow.ReaderCount = h.share.ReadsSource, h.share.ReaderCount
 	h.forward.Informed = h.share.Informed
 	h.paces = &pacer.Pacer{Balancer: h.balancer, Engines: h.Engines, Now: h.Now, Log: h.Log}
 	h.exportMetrics()
--- a/sharer/roles.go
+++ b/sharer/roles.go
@@ -208,8 +208,8 @@
 // Relays reports whether this host is a relay of its data centre.
 func (s *Sharer) Relays() bool { return s.roles.isRelay() }
 
-// Readers returns how many hosts read the source as this host sees it; at least one.
-func (s *Sharer) Readers() int {
+// ReaderCount returns how many hosts read the source as this host sees it; at least one.
+func (s *Sharer) ReaderCount() int {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	return max(1, s.roles.readers)
