--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -251,7 +251,7 @@
 	m.Func("source_age_seconds", "Age of what this host read from the store itself.", func() float64 { return h.follow.OwnAge().Seconds() })
 	m.Func("read_age_seconds", "Age of what this host read from the store or was told by a relay.", func() float64 { return h.follow.ReadAge().Seconds() })
 	m.Func("reader", "1 while this host reads the store for its data centre.", func() float64 { return gauge(h.share.ReadsSource()) })
-	m.Func("relay", "1 while the hosts of this data centre report to this one.", func() float64 { return gauge(h.share.Relays()) })
+	m.Func("relay", "1 while the hosts of this data centre report to this one.", func() float64 { return gauge(h.share.IsRelay()) })
 	m.Func("source_revision", "Revision of the store up to which this host knows upstreams and hosts.", func() float64 { return float64(h.follow.Position().Revision) })
 	m.Func("source_era", "How often the store came back from a copy, as this host knows; 0 where it does not say.", func() float64 { return float64(h.follow.Position().Era) })
 	m.Func("configuration_version", "Version of the configuration in force; 0 is none.", func() float64 {
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -178,7 +178,7 @@
 func (fl *fleet) relays(dataCentre string) []*member {
 	var out []*member
 	for _, m := range fl.members {
-		if m.dataCentre == dataCentre && m.share.Relays() {
+		if m.dataCentre == dataCentre && m.share.IsRelay() {
 			out = append(out, m)
 		}
 	}
--- a/sharer/roles.go
+++ b/sharer/roles.go
@@ -205,8 +205,8 @@
 // ReadsSource reports whether this host reads the source itself.
 func (s *Sharer) ReadsSource() bool { return s.roles.isReader(s.Now()) }
 
-// Relays reports whether this host is a relay of its data centre.
-func (s *Sharer) Relays() bool { return s.roles.isRelay() }
+// IsRelay reports whether this host is a relay of its data centre.
+func (s *Sharer) IsRelay() bool { return s.roles.isRelay() }
 
 // ReaderCount returns how many hosts read the source as this host sees it; at least one.
 func (s *Sharer) ReaderCount() int {
