--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -31,7 +31,7 @@
 func newTracker(n int) *tracker.Tracker {
 	t := &tracker.Tracker{
 		Policy: picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredFactor: 0.7}, Rand: rand.New(rand.NewPCG(1, 1)),
-		Host: "h", Sharers: func() int { return 4 },
+		Host: "h", HostCount: func() int { return 4 },
 	}
 	t.Configure(newConfiguration(n))
 	return t
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -176,7 +176,7 @@
 func newEntryHost(t *testing.T, x *result, i int, cfg *builder.Configuration) *entryHost {
 	track := &tracker.Tracker{
 		Policy: x.policy(), Rand: rand.New(rand.NewPCG(x.seed, uint64(i)+100)),
-		Host: fmt.Sprint("h", i), Sharers: func() int { return entryHosts },
+		Host: fmt.Sprint("h", i), HostCount: func() int { return entryHosts },
 	}
 	track.Configure(cfg)
 	if !x.limitAdmission {
--- a/runner/build.go
+++ b/runner/build.go
@@ -123,11 +123,11 @@
 
 func (h *Host) buildDecisions() {
 	h.track = &tracker.Tracker{
-		Policy:  h.Policy,
-		Rand:    seeded(h.Seed, 2),
-		Host:    h.Settings.Host,
-		Sharers: func() int { return len(h.gossip.Live()) },
-		Checker: h.Checker,
+		Policy:    h.Policy,
+		Rand:      seeded(h.Seed, 2),
+		Host:      h.Settings.Host,
+		HostCount: func() int { return len(h.gossip.Live()) },
+		Checker:   h.Checker,
 	}
 	h.track.Configure(&builder.Configuration{})
 	h.susp = &tracker.Suspects{WentDown: h.track.WentDown}
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -241,8 +241,8 @@
 	}
 	a, b := available[t.Rand.IntN(len(available))], available[t.Rand.IntN(len(available))]
 	hosts := 1.0
-	if t.Sharers != nil {
-		hosts = float64(t.Sharers())
+	if t.HostCount != nil {
+		hosts = float64(t.HostCount())
 	}
 	if b.sequences(now, hosts) < a.sequences(now, hosts) {
 		a = b
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -111,8 +111,8 @@
 	Rand *rand.Rand
 	// Host is the name of this host; it determines the subset of upstreams the host chooses among.
 	Host string
-	// Sharers returns how many hosts send work to the same upstreams; nil means one.
-	Sharers func() int
+	// HostCount returns how many hosts send work to the same upstreams; nil means one.
+	HostCount func() int
 	// Checker is told when work is given to a leaving upstream; nil means no check.
 	Checker *checker.Checker
 	// Unlimited lifts the limit on slots, so that the effect of admission control can be measured.
@@ -329,8 +329,8 @@
 // hostCount returns how many hosts send work to any one upstream of a pipeline; at least 1.
 func (t *Tracker) hostCount(p *pipeline) float64 {
 	n := 1.0
-	if t.Sharers != nil {
-		n = float64(t.Sharers())
+	if t.HostCount != nil {
+		n = float64(t.HostCount())
 	}
 	return max(1, n*p.share)
 }
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -29,7 +29,7 @@
 }
 
 func newTracker(host string, hosts, n int) *tracker.Tracker {
-	t := &tracker.Tracker{Policy: picker.Cheapest{}, Rand: rand.New(rand.NewPCG(1, 1)), Host: host, Sharers: func() int { return hosts }}
+	t := &tracker.Tracker{Policy: picker.Cheapest{}, Rand: rand.New(rand.NewPCG(1, 1)), Host: host, HostCount: func() int { return hosts }}
 	t.Configure(configuration(n))
 	return t
 }
