--- a/prober/prober.go
+++ b/prober/prober.go
@@ -121,7 +121,7 @@
 				silent <- name
 				return
 			}
-			p.Tracker.Report(time.Now(), name, load)
+			p.Tracker.RecordLoad(time.Now(), name, load)
 			silent <- ""
 		}()
 	}
@@ -165,7 +165,7 @@
 		p.failed(ctx, now, u.Name, err)
 		return
 	}
-	if p.Tracker.Report(now, u.Name, load) && load.Leaving {
+	if p.Tracker.RecordLoad(now, u.Name, load) && load.Leaving {
 		p.OnLeaving(u.Name, load.Incarnation)
 	}
 	if p.Tracker.Good(now, u.Name) {
--- a/router/decisions_test.go
+++ b/router/decisions_test.go
@@ -122,7 +122,7 @@
 func (x *result) probeAll() {
 	for _, h := range x.hosts {
 		for _, e := range x.fleet.Engines() {
-			h.tracker.Report(time.Now(), e.Upstream.Name, e.Load())
+			h.tracker.RecordLoad(time.Now(), e.Upstream.Name, e.Load())
 			h.tracker.Good(time.Now(), e.Upstream.Name)
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -332,7 +332,7 @@
 
 // Report implements streamer.Router.
 func (r *Router) Report(upstream string, load tracker.Load) {
-	if r.Tracker.Report(time.Now(), upstream, load) && load.Leaving {
+	if r.Tracker.RecordLoad(time.Now(), upstream, load) && load.Leaving {
 		r.Announcer.AnnounceLeaving(upstream, load.Incarnation)
 	}
 }
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Report records the load that an upstream reports. It returns whether the upstream's state or
+// RecordLoad records the load that an upstream reports. It returns whether the upstream's state or
 // incarnation changed.
-func (t *Tracker) Report(now time.Time, name string, load Load) bool {
+func (t *Tracker) RecordLoad(now time.Time, name string, load Load) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -51,7 +51,7 @@
 			{"leave", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateLeaving},
 			{"successful probe while leaving", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateLeaving},
 			{"probers report up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateLeaving},
-			{"restarted", func(t *tracker.Tracker) { t.Report(now, "e0", tracker.Load{Incarnation: 2}) }, tracker.StateUp},
+			{"restarted", func(t *tracker.Tracker) { t.RecordLoad(now, "e0", tracker.Load{Incarnation: 2}) }, tracker.StateUp},
 			{"leave of an old incarnation", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
 		}},
 		{"down until it answers", []step{
@@ -70,7 +70,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			tr := newTracker("h", 1, 2)
-			tr.Report(now, "e0", tracker.Load{Incarnation: 1})
+			tr.RecordLoad(now, "e0", tracker.Load{Incarnation: 1})
 			for _, s := range row.steps {
 				s.do(tr)
 				if got := tr.StateOf(now, "e0"); got != s.want {
