--- a/prober/prober.go
+++ b/prober/prober.go
@@ -168,7 +168,7 @@
 	if p.Tracker.RecordLoad(now, u.Name, load) && load.Leaving {
 		p.OnLeaving(u.Name, load.Incarnation)
 	}
-	if p.Tracker.Good(now, u.Name) {
+	if p.Tracker.RecordProbeSuccess(now, u.Name) {
 		p.OnDown(u.Name, load.Incarnation, false)
 		p.Log.Info().Str("upstream", u.Name).Msg("prober: upstream answers again")
 	}
--- a/router/decisions_test.go
+++ b/router/decisions_test.go
@@ -123,7 +123,7 @@
 	for _, h := range x.hosts {
 		for _, e := range x.fleet.Engines() {
 			h.tracker.RecordLoad(time.Now(), e.Upstream.Name, e.Load())
-			h.tracker.Good(time.Now(), e.Upstream.Name)
+			h.tracker.RecordProbeSuccess(time.Now(), e.Upstream.Name)
 		}
 	}
 }
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -43,8 +43,8 @@
 	return true
 }
 
-// Good records a successful probe, and reports whether the state changed.
-func (t *Tracker) Good(now time.Time, name string) bool {
+// RecordProbeSuccess records a successful probe, and reports whether the state changed.
+func (t *Tracker) RecordProbeSuccess(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -49,7 +49,7 @@
 	}{
 		{"leaving wins over up until a newer incarnation", []step{
 			{"leave", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateLeaving},
-			{"successful probe while leaving", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateLeaving},
+			{"successful probe while leaving", func(t *tracker.Tracker) { t.RecordProbeSuccess(now, "e0") }, tracker.StateLeaving},
 			{"probers report up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateLeaving},
 			{"restarted", func(t *tracker.Tracker) { t.RecordLoad(now, "e0", tracker.Load{Incarnation: 2}) }, tracker.StateUp},
 			{"leave of an old incarnation", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
@@ -57,7 +57,7 @@
 		{"down until it answers", []step{
 			{"connection refused", func(t *tracker.Tracker) { t.Bad(now, "e0", true) }, tracker.StateDown},
 			{"failed request changes nothing", func(t *tracker.Tracker) { t.Bad(now, "e0", false) }, tracker.StateDown},
-			{"successful probe", func(t *tracker.Tracker) { t.Good(now, "e0") }, tracker.StateUp},
+			{"successful probe", func(t *tracker.Tracker) { t.RecordProbeSuccess(now, "e0") }, tracker.StateUp},
 		}},
 		{"reports of its probers count", []step{
 			{"down", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, true) }, tracker.StateDown},
