--- a/prober/prober.go
+++ b/prober/prober.go
@@ -181,7 +181,7 @@
 		return
 	}
 	down := errors.Is(err, ErrRefused)
-	if !p.Tracker.Bad(now, name, down) {
+	if !p.Tracker.RecordFailure(now, name, down) {
 		return
 	}
 	p.Log.Info().Str("upstream", name).Bool("down", down).Err(err).Msg("prober: upstream does not answer")
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -151,10 +151,10 @@
 			e := q.fleet.Engine(n)
 			switch {
 			case e.Dead():
-				q.tracker.Bad(time.Now(), n, true)
+				q.tracker.RecordFailure(time.Now(), n, true)
 			case e.Paused():
 				time.Sleep(time.Second)
-				q.tracker.Bad(time.Now(), n, false)
+				q.tracker.RecordFailure(time.Now(), n, false)
 			}
 		}()
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -222,11 +222,11 @@
 		}
 	case streamer.CauseNotLoaded, streamer.CauseLayers, streamer.CauseGap:
 		if f.Upstream != "" {
-			r.Tracker.Bad(now, f.Upstream, false)
+			r.Tracker.RecordFailure(now, f.Upstream, false)
 		}
 	case streamer.CauseStall:
 		if f.Upstream != "" {
-			r.Tracker.Bad(now, f.Upstream, false)
+			r.Tracker.RecordFailure(now, f.Upstream, false)
 		}
 	case streamer.CauseNone, streamer.CauseBusy, streamer.CauseInvalid, streamer.CauseCaller, streamer.CauseDeadline:
 	}
@@ -256,7 +256,7 @@
 }
 
 func (r *Router) markDown(now time.Time, upstream string) {
-	if r.Tracker.Bad(now, upstream, true) {
+	if r.Tracker.RecordFailure(now, upstream, true) {
 		r.Announcer.AnnounceDown(upstream, r.Tracker.Incarnation(upstream), true)
 		r.Announcer.ProbeSoon([]string{upstream})
 	}
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -88,10 +88,10 @@
 	return out
 }
 
-// Bad records a failure, and reports whether the state changed. down is set if a connection was
+// RecordFailure records a failure, and reports whether the state changed. down is set if a connection was
 // refused or broke, so that the upstream certainly did not answer; else the upstream only becomes
 // suspect.
-func (t *Tracker) Bad(now time.Time, name string, down bool) bool {
+func (t *Tracker) RecordFailure(now time.Time, name string, down bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -55,8 +55,8 @@
 			{"leave of an old incarnation", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
 		}},
 		{"down until it answers", []step{
-			{"connection refused", func(t *tracker.Tracker) { t.Bad(now, "e0", true) }, tracker.StateDown},
-			{"failed request changes nothing", func(t *tracker.Tracker) { t.Bad(now, "e0", false) }, tracker.StateDown},
+			{"connection refused", func(t *tracker.Tracker) { t.RecordFailure(now, "e0", true) }, tracker.StateDown},
+			{"failed request changes nothing", func(t *tracker.Tracker) { t.RecordFailure(now, "e0", false) }, tracker.StateDown},
 			{"successful probe", func(t *tracker.Tracker) { t.RecordProbeSuccess(now, "e0") }, tracker.StateUp},
 		}},
 		{"reports of its probers count", []step{
