--- a/runner/news.go
+++ b/runner/news.go
@@ -30,7 +30,7 @@
 	if !ok || u.DataCentre != n.Settings.DataCentre || !n.probe.Owns("probe/"+upstream, prober.Probers) {
 		return
 	}
-	n.track.Heard(time.Now(), upstream, incarnation, down)
+	n.track.RecordProberReport(time.Now(), upstream, incarnation, down)
 	// Within an incarnation the state counts up, odd for down, so that the
 	// last word wins.
 	var state int32
@@ -77,7 +77,7 @@
 	case peer.ItemKind_ITEM_KIND_LEAVING:
 		h.track.Leave(it.Key, it.Incarnation)
 	case peer.ItemKind_ITEM_KIND_UPSTREAM:
-		h.track.Heard(time.Now(), it.Key, it.Incarnation, it.State%2 == 1)
+		h.track.RecordProberReport(time.Now(), it.Key, it.Incarnation, it.State%2 == 1)
 	case peer.ItemKind_ITEM_KIND_STRIKE:
 		s, err := tracker.ParseStrike(it.Key, time.UnixMilli(it.Expires), it.State == 2)
 		if err != nil {
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -55,9 +55,9 @@
 	return true
 }
 
-// Heard records what an upstream's probers report. When they report it up, it is no longer down for
+// RecordProberReport records what an upstream's probers report. When they report it up, it is no longer down for
 // this host either, but a suspicion from a failure seen by this host stays.
-func (t *Tracker) Heard(now time.Time, name string, incarnation int64, down bool) {
+func (t *Tracker) RecordProberReport(now time.Time, name string, incarnation int64, down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -50,7 +50,7 @@
 		{"leaving wins over up until a newer incarnation", []step{
 			{"leave", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateLeaving},
 			{"successful probe while leaving", func(t *tracker.Tracker) { t.RecordProbeSuccess(now, "e0") }, tracker.StateLeaving},
-			{"probers report up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateLeaving},
+			{"probers report up", func(t *tracker.Tracker) { t.RecordProberReport(now, "e0", 1, false) }, tracker.StateLeaving},
 			{"restarted", func(t *tracker.Tracker) { t.RecordLoad(now, "e0", tracker.Load{Incarnation: 2}) }, tracker.StateUp},
 			{"leave of an old incarnation", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
 		}},
@@ -60,9 +60,9 @@
 			{"successful probe", func(t *tracker.Tracker) { t.RecordProbeSuccess(now, "e0") }, tracker.StateUp},
 		}},
 		{"reports of its probers count", []step{
-			{"down", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, true) }, tracker.StateDown},
-			{"up", func(t *tracker.Tracker) { t.Heard(now, "e0", 1, false) }, tracker.StateUp},
-			{"an old incarnation down", func(t *tracker.Tracker) { t.Heard(now, "e0", 0, true) }, tracker.StateUp},
+			{"down", func(t *tracker.Tracker) { t.RecordProberReport(now, "e0", 1, true) }, tracker.StateDown},
+			{"up", func(t *tracker.Tracker) { t.RecordProberReport(now, "e0", 1, false) }, tracker.StateUp},
+			{"an old incarnation down", func(t *tracker.Tracker) { t.RecordProberReport(now, "e0", 0, true) }, tracker.StateUp},
 		}},
 		{"leaves before its incarnation is known", []step{
 			{"unknown incarnation", func(t *tracker.Tracker) { t.Leave("e1", 0) }, tracker.StateUp},
