--- a/router/router.go
+++ b/router/router.go
@@ -322,7 +322,7 @@
 
 // Gap implements streamer.Router.
 func (r *Router) Gap(job *streamer.Job, now time.Time, d time.Duration) {
-	r.Tracker.Observe(now, job.Pipeline, d)
+	r.Tracker.RecordTokenGap(now, job.Pipeline, d)
 }
 
 // Doubt implements streamer.Router.
--- a/tracker/pace.go
+++ b/tracker/pace.go
@@ -85,8 +85,8 @@
 	p.factorBits.Store(math.Float64bits(min(max(f, minPaceFactor), maxPaceFactor)))
 }
 
-// Observe records the time between two tokens of a pipeline's stream.
-func (t *Tracker) Observe(now time.Time, name string, d time.Duration) {
+// RecordTokenGap records the time between two tokens of a pipeline's stream.
+func (t *Tracker) RecordTokenGap(now time.Time, name string, d time.Duration) {
 	t.mu.Lock()
 	p := t.pipelines[name]
 	t.mu.Unlock()
