--- a/prober/prober.go
+++ b/prober/prober.go
@@ -137,7 +137,7 @@
 // for down: their probers reach them, so would never tell it otherwise.
 func (p *Prober) mine() []builder.Upstream {
 	out := p.owned()
-	for _, name := range p.Tracker.Doubtful() {
+	for _, name := range p.Tracker.SuspectedLocally() {
 		u, ok := p.Tracker.Upstream(name)
 		if ok && !slices.ContainsFunc(out, func(o builder.Upstream) bool { return o.Name == name }) {
 			out = append(out, u)
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Doubtful lists the upstreams that are down or suspect for this host but not for their probers.
-func (t *Tracker) Doubtful() []string {
+// SuspectedLocally lists the upstreams that are down or suspect for this host but not for their probers.
+func (t *Tracker) SuspectedLocally() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
