--- a/router/router.go
+++ b/router/router.go
@@ -247,7 +247,7 @@
 	// Probing others in the data centre tells a request that crashes engines, where the others
 	// still answer, from a rack that lost its power, where they do not.
 	const maxProbed = 6
-	r.Announcer.ProbeSoon(r.Tracker.Beside(upstream, maxProbed))
+	r.Announcer.ProbeSoon(r.Tracker.SameDataCentre(upstream, maxProbed))
 }
 
 // RecordInstanceFailure records that a call to an instance of a plain service failed.
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -126,9 +126,9 @@
 	return out
 }
 
-// Beside lists up to n upstreams, drawn at random, that are in the same data centre as the named
+// SameDataCentre lists up to n upstreams, drawn at random, that are in the same data centre as the named
 // one and not down.
-func (t *Tracker) Beside(name string, n int) []string {
+func (t *Tracker) SameDataCentre(name string, n int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
