--- a/prober/prober.go
+++ b/prober/prober.go
@@ -213,7 +213,7 @@
 		return
 	}
 	for _, l := range list {
-		if l.Leaving && p.Tracker.Leave(l.Name, l.Incarnation) {
+		if l.Leaving && p.Tracker.MarkLeaving(l.Name, l.Incarnation) {
 			p.OnLeaving(l.Name, l.Incarnation)
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -217,7 +217,7 @@
 		r.markDown(now, f.Upstream)
 	case streamer.CauseLeaving:
 		inc := r.Tracker.Incarnation(f.Upstream)
-		if r.Tracker.Leave(f.Upstream, inc) {
+		if r.Tracker.MarkLeaving(f.Upstream, inc) {
 			r.Announcer.AnnounceLeaving(f.Upstream, inc)
 		}
 	case streamer.CauseNotLoaded, streamer.CauseLayers, streamer.CauseGap:
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -192,7 +192,7 @@
 		return c.JSON(http.StatusNotFound, SubmitAnswer{Error: "no upstream " + name})
 	}
 	inc := h.track.Incarnation(name)
-	h.track.Leave(name, inc)
+	h.track.MarkLeaving(name, inc)
 	news{h}.AnnounceLeaving(name, inc)
 	h.Log.Info().Str("upstream", name).Int64("incarnation", inc).Msg("runner: upstream drained by an operator")
 	return c.JSON(http.StatusOK, struct{}{})
--- a/runner/news.go
+++ b/runner/news.go
@@ -75,7 +75,7 @@
 func (h *Host) learn(it *peer.Item) {
 	switch it.Kind {
 	case peer.ItemKind_ITEM_KIND_LEAVING:
-		h.track.Leave(it.Key, it.Incarnation)
+		h.track.MarkLeaving(it.Key, it.Incarnation)
 	case peer.ItemKind_ITEM_KIND_UPSTREAM:
 		h.track.RecordProberReport(time.Now(), it.Key, it.Incarnation, it.State%2 == 1)
 	case peer.ItemKind_ITEM_KIND_STRIKE:
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -146,10 +146,10 @@
 	return out[:min(n, len(out))]
 }
 
-// Leave marks an upstream as leaving in an incarnation; 0 means the current one. A leaving upstream
+// MarkLeaving marks an upstream as leaving in an incarnation; 0 means the current one. A leaving upstream
 // gets no work, whatever else is reported, until it has a newer incarnation. The result is whether
 // it became leaving.
-func (t *Tracker) Leave(name string, incarnation int64) bool {
+func (t *Tracker) MarkLeaving(name string, incarnation int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -48,11 +48,11 @@
 		steps []step
 	}{
 		{"leaving wins over up until a newer incarnation", []step{
-			{"leave", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateLeaving},
+			{"leave", func(t *tracker.Tracker) { t.MarkLeaving("e0", 1) }, tracker.StateLeaving},
 			{"successful probe while leaving", func(t *tracker.Tracker) { t.RecordProbeSuccess(now, "e0") }, tracker.StateLeaving},
 			{"probers report up", func(t *tracker.Tracker) { t.RecordProberReport(now, "e0", 1, false) }, tracker.StateLeaving},
 			{"restarted", func(t *tracker.Tracker) { t.RecordLoad(now, "e0", tracker.Load{Incarnation: 2}) }, tracker.StateUp},
-			{"leave of an old incarnation", func(t *tracker.Tracker) { t.Leave("e0", 1) }, tracker.StateUp},
+			{"leave of an old incarnation", func(t *tracker.Tracker) { t.MarkLeaving("e0", 1) }, tracker.StateUp},
 		}},
 		{"down until it answers", []step{
 			{"connection refused", func(t *tracker.Tracker) { t.RecordFailure(now, "e0", true) }, tracker.StateDown},
@@ -65,7 +65,7 @@
 			{"an old incarnation down", func(t *tracker.Tracker) { t.RecordProberReport(now, "e0", 0, true) }, tracker.StateUp},
 		}},
 		{"leaves before its incarnation is known", []step{
-			{"unknown incarnation", func(t *tracker.Tracker) { t.Leave("e1", 0) }, tracker.StateUp},
+			{"unknown incarnation", func(t *tracker.Tracker) { t.MarkLeaving("e1", 0) }, tracker.StateUp},
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
