--- a/router/router.go
+++ b/router/router.go
@@ -238,7 +238,7 @@
 // them, so it collects a second strike.
 func (r *Router) recordCrash(now time.Time, upstream string) {
 	inc := r.Tracker.Incarnation(upstream)
-	for _, fp := range r.Tracker.Struck(upstream) {
+	for _, fp := range r.Tracker.StrikeInFlight(upstream) {
 		s := tracker.NewStrike(now, fp, upstream, inc)
 		r.Suspects.Add(s)
 		r.Announcer.AnnounceStrike(s)
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -188,12 +188,12 @@
 	return StateDown
 }
 
-// Struck returns the fingerprints against which the crash of an upstream counts: those of the
+// StrikeInFlight returns the fingerprints against which the crash of an upstream counts: those of the
 // requests that this host has in flight there. Only the first crash on a route counts against a
 // request. A rack or a data centre can fail with all upstreams of a route, and if each of them
 // counted, innocent requests would be refused for good. A request that causes crashes does so again
 // on its next route, and an innocent one does not.
-func (t *Tracker) Struck(name string) []uint64 {
+func (t *Tracker) StrikeInFlight(name string) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[name]
