--- a/server/services.go
+++ b/server/services.go
@@ -87,7 +87,7 @@
 	tk := admitter.Ticket{Workspace: p.workspace.Name, Group: p.group(), Priority: p.workspace.Priority, Cost: 1, Deadline: p.deadline}
 	req := tracker.Request{ID: flight, Fingerprint: p.fingerprint, Avoid: p.avoid}
 	route, refused := p.Router.Admitter.Acquire(ctx, time.Now(), tk, func() (picker.Route, bool) {
-		name := p.Router.Tracker.AcquireOne(time.Now(), p.svc.Upstreams, req)
+		name := p.Router.Tracker.AcquireInstance(time.Now(), p.svc.Upstreams, req)
 		return picker.Route{{Upstream: name}}, name != ""
 	})
 	if refused != nil {
--- a/tracker/events.go
+++ b/tracker/events.go
@@ -224,9 +224,9 @@
 	}
 }
 
-// AcquireOne draws two instances of a plain service, counts a request as in flight on the less
+// AcquireInstance draws two instances of a plain service, counts a request as in flight on the less
 // loaded one and returns its name. It returns "" if none has room.
-func (t *Tracker) AcquireOne(now time.Time, names []string, r Request) string {
+func (t *Tracker) AcquireInstance(now time.Time, names []string, r Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var available []*upstream
