--- a/router/router.go
+++ b/router/router.go
@@ -108,7 +108,7 @@
 	if refusal != nil {
 		return nil, 0, refusal
 	}
-	return r.stages(job, route), r.Tracker.Expect(time.Now(), job.Pipeline, route, r.DataCentre), nil
+	return r.stages(job, route), r.Tracker.ExpectedTokenGap(time.Now(), job.Pipeline, route, r.DataCentre), nil
 }
 
 // recheckQuarantine returns the refusal of a job that has repeatedly crashed its upstreams, or nil.
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -81,8 +81,8 @@
 	return builder.Model{}, false
 }
 
-// Expect estimates the time between two tokens on a route, including links.
-func (t *Tracker) Expect(now time.Time, name string, route picker.Route, from string) time.Duration {
+// ExpectedTokenGap estimates the time between two tokens on a route, including links.
+func (t *Tracker) ExpectedTokenGap(now time.Time, name string, route picker.Route, from string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pipelines[name]
