--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -98,7 +98,7 @@
 		t := newTracker(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := t.Bound(time.Now(), pipeline, true); err != nil {
+				if _, err := t.ThroughputBound(time.Now(), pipeline, true); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/router/decisions_test.go
+++ b/router/decisions_test.go
@@ -166,7 +166,7 @@
 func (x *result) recoveryTime() (after time.Duration, lowest float64) {
 	const second = int(time.Second / bucketDuration)
 	begin := int(x.warmUp / bucketDuration)
-	available, err := x.hosts[0].tracker.Bound(time.Now(), pipeline, false)
+	available, err := x.hosts[0].tracker.ThroughputBound(time.Now(), pipeline, false)
 	want := min(x.load*x.bound, available/iterationsPerToken())
 	if err != nil || want == 0 {
 		return 0, 0
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -223,7 +223,7 @@
 	for i := range entryHosts {
 		x.hosts = append(x.hosts, newEntryHost(t, x, i, cfg))
 	}
-	x.bound, _ = x.hosts[0].tracker.Bound(time.Now(), pipeline, true)
+	x.bound, _ = x.hosts[0].tracker.ThroughputBound(time.Now(), pipeline, true)
 	x.bound /= iterationsPerToken()
 	x.start = time.Now()
 	if x.atStart != nil {
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -218,8 +218,8 @@
 	}
 	if cfg := h.watch.Current(); cfg != nil {
 		for _, p := range cfg.Pipelines {
-			declared, _ := h.track.Bound(now, p.Name, true)
-			up, _ := h.track.Bound(now, p.Name, false)
+			declared, _ := h.track.ThroughputBound(now, p.Name, true)
+			up, _ := h.track.ThroughputBound(now, p.Name, false)
 			st.Bounds[p.Name] = BoundStatus{Declared: declared, Up: up}
 		}
 	}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -242,7 +242,7 @@
 		return
 	}
 	for _, p := range cfg.Pipelines {
-		if b, err := h.track.Bound(now, p.Name, false); err == nil {
+		if b, err := h.track.ThroughputBound(now, p.Name, false); err == nil {
 			h.meter.Bound.WithLabelValues(p.Name).Set(b)
 		}
 	}
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -106,9 +106,9 @@
 	return sum + t.links.Latency(at, from)
 }
 
-// Bound returns the throughput bound of a pipeline in tokens per second, over the upstreams that
+// ThroughputBound returns the throughput bound of a pipeline in tokens per second, over the upstreams that
 // are up or, if declared is set, over all declared ones. The cost of prompts is not included.
-func (t *Tracker) Bound(now time.Time, name string, declared bool) (float64, error) {
+func (t *Tracker) ThroughputBound(now time.Time, name string, declared bool) (float64, error) {
 	t.mu.Lock()
 	p := t.pipelines[name]
 	if p == nil {
