--- a/forwarder/quarantine_test.go
+++ b/forwarder/quarantine_test.go
@@ -36,5 +36,5 @@
 	k.detectCrash(ctx, balancer.Hop{ID: "one", Address: "10.0.0.1:1"})
 	is.True(!b.Lost("one"))
 	is.Equal(len(b.Dead(0, 1)), 0)
-	is.Equal(len(f.Suspects.Of(time.Now(), 7)), 0)
+	is.Equal(len(f.Suspects.Active(time.Now(), 7)), 0)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -156,7 +156,7 @@
 		From:        r.DataCentre,
 		Fingerprint: job.Fingerprint,
 		Prefix:      job.Prefix,
-		Suspect:     len(r.Suspects.Of(time.Now(), job.Fingerprint)) > 0,
+		Suspect:     len(r.Suspects.Active(time.Now(), job.Fingerprint)) > 0,
 		Avoid:       job.Avoid,
 	}
 }
@@ -200,7 +200,7 @@
 // clearStrikes clears the strikes against a request that was answered completely, here and on
 // other hosts.
 func (r *Router) clearStrikes(now time.Time, fingerprint uint64) {
-	for _, s := range r.Suspects.Of(now, fingerprint) {
+	for _, s := range r.Suspects.Active(now, fingerprint) {
 		s.Cleared = true
 		r.Suspects.Add(s)
 		r.Announcer.AnnounceStrike(s)
--- a/tracker/suspects.go
+++ b/tracker/suspects.go
@@ -90,8 +90,8 @@
 	byKey[st.Key()] = st
 }
 
-// Of returns the strikes that count against a fingerprint now.
-func (s *Suspects) Of(now time.Time, fingerprint uint64) []Strike {
+// Active returns the strikes that count against a fingerprint now.
+func (s *Suspects) Active(now time.Time, fingerprint uint64) []Strike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Strike
@@ -131,7 +131,7 @@
 
 // Clear records that a request was answered completely, so that none of its strikes count.
 func (s *Suspects) Clear(now time.Time, fingerprint uint64) {
-	for _, st := range s.Of(now, fingerprint) {
+	for _, st := range s.Active(now, fingerprint) {
 		st.Cleared = true
 		s.Add(st)
 	}
@@ -139,7 +139,7 @@
 
 // Quarantined reports whether requests with a fingerprint are refused now, and for how long.
 func (s *Suspects) Quarantined(now time.Time, fingerprint uint64) (time.Duration, bool) {
-	strikes := s.attributable(s.Of(now, fingerprint))
+	strikes := s.attributable(s.Active(now, fingerprint))
 	if len(strikes) < soleStrikeThreshold || len(strikes) < strikeThreshold && s.hasOtherCause(now, fingerprint, strikes) {
 		return 0, false
 	}
@@ -178,7 +178,7 @@
 // Doubtful reports whether a fingerprint has enough strikes to be refused, so that it is worth
 // waiting briefly for other hosts to report fingerprints with the same strikes.
 func (s *Suspects) Doubtful(now time.Time, fingerprint uint64) bool {
-	return len(s.Of(now, fingerprint)) >= soleStrikeThreshold
+	return len(s.Active(now, fingerprint)) >= soleStrikeThreshold
 }
 
 // hasOtherCause reports whether another fingerprint was in flight at the same crashes. After the
