--- a/router/router.go
+++ b/router/router.go
@@ -116,7 +116,7 @@
 // crashes, neither of the two is refused.
 func (r *Router) recheckQuarantine(ctx context.Context, job *streamer.Job) *admitter.Refusal {
 	const strikePropagation = 100 * time.Millisecond
-	if !r.Suspects.Doubtful(time.Now(), job.Fingerprint) {
+	if !r.Suspects.ReachesThreshold(time.Now(), job.Fingerprint) {
 		return nil
 	}
 	select {
--- a/tracker/suspects.go
+++ b/tracker/suspects.go
@@ -175,9 +175,9 @@
 	})
 }
 
-// Doubtful reports whether a fingerprint has enough strikes to be refused, so that it is worth
+// ReachesThreshold reports whether a fingerprint has enough strikes to be refused, so that it is worth
 // waiting briefly for other hosts to report fingerprints with the same strikes.
-func (s *Suspects) Doubtful(now time.Time, fingerprint uint64) bool {
+func (s *Suspects) ReachesThreshold(now time.Time, fingerprint uint64) bool {
 	return len(s.Active(now, fingerprint)) >= soleStrikeThreshold
 }
 
