--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -41,8 +41,8 @@
 	Card string `json:"card"`
 	// Holds are the layers that it has loaded; empty when it has none or needs none.
 	Holds Span `json:"holds"`
-	// Born is when it was started, in Unix milliseconds.
-	Born int64 `json:"born"`
+	// StartedAt is when it was started, in Unix milliseconds.
+	StartedAt int64 `json:"born"`
 }
 
 // Hop is one upstream of a path with the layers it runs; both 0 for a plain service.
@@ -226,7 +226,7 @@
 			continue
 		}
 		changed = append(changed, l)
-		if u != nil && (u.Born != l.Born || u.Address != l.Address) {
+		if u != nil && (u.StartedAt != l.StartedAt || u.Address != l.Address) {
 			b.drop(l.ID)
 			u = nil
 		}
@@ -251,7 +251,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range list {
-		if u := b.upstreams[list[i].ID]; u != nil && u.Born == list[i].Born && u.Leaving {
+		if u := b.upstreams[list[i].ID]; u != nil && u.StartedAt == list[i].StartedAt && u.Leaving {
 			list[i].Leaving = true
 		}
 	}
@@ -265,7 +265,7 @@
 	switch {
 	case old == nil || old == u || b.upstreams[old.ID] != old || old.Address != u.Address:
 		b.byAddress[u.Address] = u
-	case old.Born <= u.Born:
+	case old.StartedAt <= u.StartedAt:
 		b.drop(old.ID)
 		b.byAddress[u.Address] = u
 	default:
@@ -425,7 +425,7 @@
 	best.firstHopRequests++
 	b.countSent(now, best)
 	hop := Hop{ID: best.ID, Address: best.Address}
-	return &Lease{requirements: n, First: hop, Born: best.Born, HeldOff: throttled, hops: []Hop{hop}}, ReasonNone
+	return &Lease{requirements: n, First: hop, Born: best.StartedAt, HeldOff: throttled, hops: []Hop{hop}}, ReasonNone
 }
 
 // estimatedLoad estimates the requests at an upstream, with less weight for older reports.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -148,9 +148,9 @@
 func TestRestarted(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	b.List([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Born: 7}}, nil)
+	b.List([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", StartedAt: 7}}, nil)
 	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ")
-	b.List([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Holds: balancer.Span{To: 40}, Born: 3}}, nil)
+	b.List([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Holds: balancer.Span{To: 40}, StartedAt: 3}}, nil)
 	is.Equal(b.ByAddress("a:1"), "a1-new") // ignores a late heartbeat of the old incarnation
 }
 
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -167,7 +167,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if u := b.upstreams[id]; u != nil {
-		return u.Born
+		return u.StartedAt
 	}
 	return 0
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -82,7 +82,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
-	if u == nil || u.Born != born {
+	if u == nil || u.StartedAt != born {
 		return LimitChange{}, false
 	}
 	l := &u.limit
@@ -130,7 +130,7 @@
 	defer b.mu.Unlock()
 	var recent, rest []UpstreamLimit
 	for id, u := range b.limited {
-		one := UpstreamLimit{Upstream: id, Born: u.Born, Limit: u.limit.Limit}
+		one := UpstreamLimit{Upstream: id, Born: u.StartedAt, Limit: u.limit.Limit}
 		if now-u.limit.changedAt <= limitNewsAge {
 			recent = append(recent, one)
 		} else {
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -104,7 +104,7 @@
 	list := b.Listed()
 	for i := range list {
 		if list[i].ID == "adesk" {
-			list[i].Born = 5
+			list[i].StartedAt = 5
 		}
 	}
 	b.List(list, nil)
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -84,7 +84,7 @@
 			is := is.New(t)
 			c := src.Copy()
 			for n := range 20 {
-				src.List(balancer.Upstream{ID: "two", Address: "2", Born: int64(n)})
+				src.List(balancer.Upstream{ID: "two", Address: "2", StartedAt: int64(n)})
 			}
 			time.Sleep(time.Second)
 			before := fol.Position()
--- a/follower/update_bench_test.go
+++ b/follower/update_bench_test.go
@@ -15,7 +15,7 @@
 	for n := range 10 {
 		u := &Update{After: Position{Revision: int64(n + 1)}, Position: Position{Revision: int64(n + 2)}}
 		for i := range 1000 {
-			u.Listed = append(u.Listed, balancer.Upstream{ID: fmt.Sprint("u", i), Address: fmt.Sprint(i), Born: int64(n)})
+			u.Listed = append(u.Listed, balancer.Upstream{ID: fmt.Sprint("u", i), Address: fmt.Sprint(i), StartedAt: int64(n)})
 		}
 		h.add(u)
 	}
--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -78,7 +78,7 @@
 
 // entry is what an upstream writes of itself.
 func (r *restored) entry(id, dataCentre string, leaving bool) balancer.Upstream {
-	return balancer.Upstream{ID: id, Service: "desk", Address: "10.1.0." + id + ":80", DataCentre: dataCentre, Slots: 8, Born: 1, Leaving: leaving}
+	return balancer.Upstream{ID: id, Service: "desk", Address: "10.1.0." + id + ":80", DataCentre: dataCentre, Slots: 8, StartedAt: 1, Leaving: leaving}
 }
 
 // beat writes the entry of an upstream until it leaves. It looks and writes under one lock,
--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -270,7 +270,7 @@
 		return false
 	}
 	done := p.span.Len() > 0 && placer.Span(u.Holds) == p.span && !p.failed
-	if done || p.startedAt != u.Born || o.Now() > p.until {
+	if done || p.startedAt != u.StartedAt || o.Now() > p.until {
 		delete(o.pendingOrder, u.ID)
 		return false
 	}
@@ -282,7 +282,7 @@
 	loadTime := time.Duration(float64(e.LoadTime) * float64(span.Len()) / float64(e.Layers))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pendingOrder[u.ID] = pendingOrder{span: span, startedAt: u.Born, until: o.Now() + loadTime + pendingTimeout}
+	o.pendingOrder[u.ID] = pendingOrder{span: span, startedAt: u.StartedAt, until: o.Now() + loadTime + pendingTimeout}
 }
 
 // sendOrder sends one order. If the upstream refuses it, because its order count was unknown or
@@ -298,7 +298,7 @@
 	if err != nil {
 		o.mu.Lock()
 		delete(o.orderCount, u.ID)
-		o.pendingOrder[u.ID] = pendingOrder{span: placer.Span(u.Holds), startedAt: u.Born, until: o.Now() + retryDelay, failed: true}
+		o.pendingOrder[u.ID] = pendingOrder{span: placer.Span(u.Holds), startedAt: u.StartedAt, until: o.Now() + retryDelay, failed: true}
 		o.mu.Unlock()
 	}
 	o.Log.Info().Err(err).Str("upstream", u.ID).Str("address", u.Address).Int("from", span.From).Int("to", span.To).
@@ -316,7 +316,7 @@
 	err := o.Engines.Place(ctx, u.Address, balancer.Span(span), n)
 	if err == nil {
 		o.mu.Lock()
-		o.orderCount[u.ID] = orderCount{orders: n + 1, startedAt: u.Born}
+		o.orderCount[u.ID] = orderCount{orders: n + 1, startedAt: u.StartedAt}
 		o.mu.Unlock()
 	}
 	return err
@@ -327,7 +327,7 @@
 func (o *Orderer) expectedCount(u *balancer.Member) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if t := o.orderCount[u.ID]; t.startedAt == u.Born {
+	if t := o.orderCount[u.ID]; t.startedAt == u.StartedAt {
 		return t.orders
 	}
 	return 0
@@ -342,5 +342,5 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.orderCount[u.ID] = orderCount{orders: n, startedAt: u.Born}
+	o.orderCount[u.ID] = orderCount{orders: n, startedAt: u.StartedAt}
 }
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -70,7 +70,7 @@
 		b.Configure(services)
 		e := &fakeEngines{b: b, orderCounts: make(map[string]int64), refusals: make(map[string]int), drainTime: time.Second, upstreams: make(map[string]balancer.Upstream)}
 		for n := range 12 {
-			u := balancer.Upstream{ID: fmt.Sprint("e", n), Service: "model", Address: fmt.Sprint("10.0.0.", n), DataCentre: "a", Card: "x", Born: 1}
+			u := balancer.Upstream{ID: fmt.Sprint("e", n), Service: "model", Address: fmt.Sprint("10.0.0.", n), DataCentre: "a", Card: "x", StartedAt: 1}
 			e.upstreams[u.Address] = u
 			b.List([]balancer.Upstream{u}, nil)
 		}
@@ -156,7 +156,7 @@
 func TestLeavingEngineReplaced(t *testing.T) {
 	runOrderer(t, func(e *fakeEngines, _ *atomic.Bool) {
 		time.Sleep(10 * time.Second)
-		fresh := balancer.Upstream{ID: "new", Service: "model", Address: "10.0.0.99", DataCentre: "a", Card: "x", Born: 9}
+		fresh := balancer.Upstream{ID: "new", Service: "model", Address: "10.0.0.99", DataCentre: "a", Card: "x", StartedAt: 9}
 		e.mu.Lock()
 		u := e.upstreams["10.0.0.3"]
 		u.Leaving = true
--- a/sharer/restore_test.go
+++ b/sharer/restore_test.go
@@ -27,7 +27,7 @@
 					fl.source.List(balancer.Upstream{ID: "leaves", Address: "1", Leaving: true})
 					if overtaken {
 						for n := range 200 {
-							fl.source.List(balancer.Upstream{ID: "other", Address: "2", Born: int64(n)})
+							fl.source.List(balancer.Upstream{ID: "other", Address: "2", StartedAt: int64(n)})
 						}
 					}
 					fl.calls.Store(0)
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	u.Upstream = balancer.Upstream{ID: id, Service: service, Address: address, DataCentre: dataCentre, Slots: 64, Born: time.Now().UnixMilli()}
+	u.Upstream = balancer.Upstream{ID: id, Service: service, Address: address, DataCentre: dataCentre, Slots: 64, StartedAt: time.Now().UnixMilli()}
 	if err := u.serve(); err != nil {
 		return err
 	}
