--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -39,8 +39,8 @@
 	Leaving bool `json:"leaving"`
 	// Card is its kind of accelerator; empty where the service names none.
 	Card string `json:"card"`
-	// Holds are the layers that it has loaded; empty when it has none or needs none.
-	Holds Span `json:"holds"`
+	// Layers are the layers that it has loaded; empty when it has none or needs none.
+	Layers Span `json:"holds"`
 	// StartedAt is when it was started, in Unix milliseconds.
 	StartedAt int64 `json:"born"`
 }
@@ -329,7 +329,7 @@
 		return
 	}
 	e := s.Engine
-	free := CardOf(e, u.Card).MB - float64(u.Holds.Len())*e.LayerMB
+	free := CardOf(e, u.Card).MB - float64(u.Layers.Len())*e.LayerMB
 	u.capacity = max(0, free*1e6/(e.TokenBytes/float64(e.Layers)))
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -32,8 +32,8 @@
 	var list []balancer.Upstream
 	for _, dc := range []string{"a", "b"} {
 		list = append(list,
-			balancer.Upstream{ID: dc + "1", Service: "model", Address: dc + ":1", DataCentre: dc, Card: "large", Holds: balancer.Span{To: 40}},
-			balancer.Upstream{ID: dc + "2", Service: "model", Address: dc + ":2", DataCentre: dc, Card: "large", Holds: balancer.Span{From: 40, To: 80}},
+			balancer.Upstream{ID: dc + "1", Service: "model", Address: dc + ":1", DataCentre: dc, Card: "large", Layers: balancer.Span{To: 40}},
+			balancer.Upstream{ID: dc + "2", Service: "model", Address: dc + ":2", DataCentre: dc, Card: "large", Layers: balancer.Span{From: 40, To: 80}},
 			balancer.Upstream{ID: dc + "desk", Service: "desk", Address: dc + ":3", DataCentre: dc, Slots: 6},
 		)
 	}
@@ -150,7 +150,7 @@
 	b := newBalancer()
 	b.List([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", StartedAt: 7}}, nil)
 	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ")
-	b.List([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Holds: balancer.Span{To: 40}, StartedAt: 3}}, nil)
+	b.List([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Layers: balancer.Span{To: 40}, StartedAt: 3}}, nil)
 	is.Equal(b.ByAddress("a:1"), "a1-new") // ignores a late heartbeat of the old incarnation
 }
 
@@ -159,10 +159,10 @@
 	is := is.New(t)
 	b := newBalancer()
 	b.List([]balancer.Upstream{
-		{ID: "c1", Service: "model", Address: "c:1", DataCentre: "c", Card: "slow", Holds: balancer.Span{From: 40, To: 50}},
-		{ID: "c2", Service: "model", Address: "c:2", DataCentre: "c", Card: "slow", Holds: balancer.Span{From: 50, To: 60}},
-		{ID: "c3", Service: "model", Address: "c:3", DataCentre: "c", Card: "slow", Holds: balancer.Span{From: 60, To: 70}},
-		{ID: "c4", Service: "model", Address: "c:4", DataCentre: "c", Card: "slow", Holds: balancer.Span{From: 70, To: 80}},
+		{ID: "c1", Service: "model", Address: "c:1", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 40, To: 50}},
+		{ID: "c2", Service: "model", Address: "c:2", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 50, To: 60}},
+		{ID: "c3", Service: "model", Address: "c:3", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 60, To: 70}},
+		{ID: "c4", Service: "model", Address: "c:4", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 70, To: 80}},
 	}, nil)
 	is.True(b.SetDead(0, "a2", true))
 	is.True(b.SetDead(0, "b1", true))
@@ -246,7 +246,7 @@
 				from := i % 16 * 5
 				list = append(list, balancer.Upstream{
 					ID: fmt.Sprint("x", i), Service: "model", Address: fmt.Sprint("x:", i), DataCentre: fmt.Sprint("dc", i%3),
-					Card: "slow", Holds: balancer.Span{From: from, To: from + 5},
+					Card: "slow", Layers: balancer.Span{From: from, To: from + 5},
 				})
 			}
 			bal.List(list, nil)
@@ -282,7 +282,7 @@
 func TestSpareInSameDataCentre(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	b.List([]balancer.Upstream{{ID: "a3", Service: "model", Address: "a:4", DataCentre: "a", Card: "large", Holds: balancer.Span{From: 40, To: 80}}}, nil)
+	b.List([]balancer.Upstream{{ID: "a3", Service: "model", Address: "a:4", DataCentre: "a", Card: "large", Layers: balancer.Span{From: 40, To: 80}}}, nil)
 	l := acquire(t, b, 0, modelNeed)
 	for range 40 {
 		acquire(t, b, 0, modelNeed)
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -70,7 +70,7 @@
 		return StateDead
 	case u.ejectedUntil > now:
 		return StateOut
-	case s != nil && s.Engine != nil && s.Engine.Layers > 0 && u.Holds.Len() == 0:
+	case s != nil && s.Engine != nil && s.Engine.Layers > 0 && u.Layers.Len() == 0:
 		return StateEmpty
 	default:
 		return StateUsable
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -95,7 +95,7 @@
 func (b *Balancer) candidates(now time.Duration, s *matcher.Service, n Need) []picker.Candidate {
 	out := make([]picker.Candidate, 0, len(b.subset.used))
 	for _, u := range b.subset.used {
-		if u.Service != n.Service || u.Holds.Len() == 0 || u.retired || !u.usable(now, n.Avoid) {
+		if u.Service != n.Service || u.Layers.Len() == 0 || u.retired || !u.usable(now, n.Avoid) {
 			continue
 		}
 		out = append(out, b.candidate(now, s.Engine, u, n, n.expectedTokens()))
@@ -193,7 +193,7 @@
 	e, first := s.Engine, l.First
 	var cands []picker.Candidate
 	for _, u := range b.subset.used {
-		if u.Service != s.Name || u.Holds.To <= first.To || u.ID == first.ID || u.ID == avoid || !u.usable(now, nil) {
+		if u.Service != s.Name || u.Layers.To <= first.To || u.ID == first.ID || u.ID == avoid || !u.usable(now, nil) {
 			continue
 		}
 		c := b.candidate(now, e, u, l.requirements, l.tokens)
@@ -262,7 +262,7 @@
 // request takes its tokens times all layers that the upstream holds.
 func (b *Balancer) candidate(now time.Duration, e *matcher.Engine, u *upstream, n Need, tokens float64) picker.Candidate {
 	card := CardOf(e, u.Card)
-	span := u.Holds
+	span := u.Layers
 	free := headroom
 	if n.Begun {
 		free = 0
@@ -331,13 +331,13 @@
 	var lacking []string
 	for _, u := range b.upstreams {
 		switch {
-		case u.Service != service || u.Holds.Len() == 0:
+		case u.Service != service || u.Layers.Len() == 0:
 		case u.usable(now, nil):
-			for l := max(0, u.Holds.From); l < min(u.Holds.To, len(held)); l++ {
+			for l := max(0, u.Layers.From); l < min(u.Layers.To, len(held)); l++ {
 				held[l] = true
 			}
 		default:
-			lacking = append(lacking, fmt.Sprintf("%s=%d-%d leaving=%t dead=%t out=%t", u.Address, u.Holds.From, u.Holds.To, u.Leaving, u.dead, u.ejectedUntil > now))
+			lacking = append(lacking, fmt.Sprintf("%s=%d-%d leaving=%t dead=%t out=%t", u.Address, u.Layers.From, u.Layers.To, u.Leaving, u.dead, u.ejectedUntil > now))
 		}
 	}
 	var gaps []string
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -63,7 +63,7 @@
 			for half, n := range holders {
 				for k := range n {
 					id := fmt.Sprint(at, half, k)
-					list = append(list, balancer.Upstream{ID: id, Service: "model", Address: id, DataCentre: at, Card: "large", Holds: balancer.Span{From: 40 * half, To: 40 * (half + 1)}})
+					list = append(list, balancer.Upstream{ID: id, Service: "model", Address: id, DataCentre: at, Card: "large", Layers: balancer.Span{From: 40 * half, To: 40 * (half + 1)}})
 				}
 			}
 		}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -103,7 +103,7 @@
 			u.retired = true
 			used[id] = u
 		}
-		if u.Holds.Len() > 0 && !u.Leaving {
+		if u.Layers.Len() > 0 && !u.Leaving {
 			key := [2]string{u.Service, u.DataCentre}
 			pools[key] = append(pools[key], u)
 		}
@@ -123,7 +123,7 @@
 	copies := b.copiesPerLayer(pool, layers, dataCentre)
 	holders := make([]int, layers)
 	for _, u := range pool {
-		span := holders[min(layers, max(0, u.Holds.From)):min(layers, u.Holds.To)]
+		span := holders[min(layers, max(0, u.Layers.From)):min(layers, u.Layers.To)]
 		if len(span) == 0 || slices.Min(span) >= copies {
 			continue
 		}
@@ -144,7 +144,7 @@
 	if dataCentre == b.DataCentre {
 		layersHeld := 0
 		for _, u := range pool {
-			layersHeld += u.Holds.Len()
+			layersHeld += u.Layers.Len()
 		}
 		hosts := 1 + b.hostCounts[dataCentre]
 		out = max(localCopies, int(math.Ceil(minHostsPerUpstream*float64(layersHeld)/float64(layers*hosts))))
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -22,7 +22,7 @@
 		id, at := fmt.Sprint("u", i), i%parts
 		out[i] = balancer.Upstream{
 			ID: id, Service: "model", Address: id, DataCentre: fmt.Sprint("dc", i/parts%3), Card: "slow",
-			Holds: balancer.Span{From: 8 * at, To: 8 * (at + 1)},
+			Layers: balancer.Span{From: 8 * at, To: 8 * (at + 1)},
 		}
 	}
 	return out
@@ -78,7 +78,7 @@
 	lost := 0
 	for _, id := range b.Used(0) {
 		i := slices.IndexFunc(list, func(u balancer.Upstream) bool { return u.ID == id })
-		if list[i].Holds.From == 40 {
+		if list[i].Layers.From == 40 {
 			b.SetDead(time.Second, id, true)
 			lost++
 		}
--- a/balancer/turned_test.go
+++ b/balancer/turned_test.go
@@ -24,7 +24,7 @@
 	for i := range ranges {
 		for k := range holders {
 			id := fmt.Sprintf("%d-%d", i, k)
-			list = append(list, balancer.Upstream{ID: id, Service: "model", Address: id, DataCentre: "a", Card: "slow", Holds: balancer.Span{From: 6 * i, To: 6 * (i + 1)}})
+			list = append(list, balancer.Upstream{ID: id, Service: "model", Address: id, DataCentre: "a", Card: "slow", Layers: balancer.Span{From: 6 * i, To: 6 * (i + 1)}})
 		}
 	}
 	out := make([]*balancer.Balancer, n)
--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -250,7 +250,7 @@
 // holding the ordered span: it takes no new requests for its old layers.
 func (o *Orderer) memberOf(e *matcher.Engine, u *balancer.Member) placer.Member {
 	card := balancer.CardOf(e, u.Card)
-	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Holds), Unreachable: u.Out, Streams: u.Streams}
+	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Layers), Unreachable: u.Out, Streams: u.Streams}
 	if o.orderPending(u) {
 		m.Pending = true
 		o.mu.Lock()
@@ -269,7 +269,7 @@
 	if !ok {
 		return false
 	}
-	done := p.span.Len() > 0 && placer.Span(u.Holds) == p.span && !p.failed
+	done := p.span.Len() > 0 && placer.Span(u.Layers) == p.span && !p.failed
 	if done || p.startedAt != u.StartedAt || o.Now() > p.until {
 		delete(o.pendingOrder, u.ID)
 		return false
@@ -298,7 +298,7 @@
 	if err != nil {
 		o.mu.Lock()
 		delete(o.orderCount, u.ID)
-		o.pendingOrder[u.ID] = pendingOrder{span: placer.Span(u.Holds), startedAt: u.StartedAt, until: o.Now() + retryDelay, failed: true}
+		o.pendingOrder[u.ID] = pendingOrder{span: placer.Span(u.Layers), startedAt: u.StartedAt, until: o.Now() + retryDelay, failed: true}
 		o.mu.Unlock()
 	}
 	o.Log.Info().Err(err).Str("upstream", u.ID).Str("address", u.Address).Int("from", span.From).Int("to", span.To).
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -45,7 +45,7 @@
 	}
 	e.orderCounts[address]++
 	u := e.upstreams[address]
-	u.Holds = s
+	u.Layers = s
 	e.upstreams[address] = u
 	time.AfterFunc(e.drainTime, func() { e.b.List([]balancer.Upstream{u}, nil) })
 	return nil
@@ -100,7 +100,7 @@
 	t.Helper()
 	held := make([]bool, 40)
 	for _, u := range e.b.Listed() {
-		for l := u.Holds.From; l < u.Holds.To; l++ {
+		for l := u.Layers.From; l < u.Layers.To; l++ {
 			held[l] = true
 		}
 	}
