--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -56,8 +56,8 @@
 type Lease struct {
 	// First is the hop that the request is sent to. It stays the same when the path changes.
 	First Hop
-	// Born is when the upstream of First was started, in Unix milliseconds.
-	Born int64
+	// StartedAt is when the upstream of First was started, in Unix milliseconds.
+	StartedAt int64
 	// hops is the whole path. It may change while the lease is held; read it through
 	// Balancer.Path.
 	hops []Hop
@@ -425,7 +425,7 @@
 	best.firstHopRequests++
 	b.countSent(now, best)
 	hop := Hop{ID: best.ID, Address: best.Address}
-	return &Lease{requirements: n, First: hop, Born: best.StartedAt, HeldOff: throttled, hops: []Hop{hop}}, ReasonNone
+	return &Lease{requirements: n, First: hop, StartedAt: best.StartedAt, HeldOff: throttled, hops: []Hop{hop}}, ReasonNone
 }
 
 // estimatedLoad estimates the requests at an upstream, with less weight for older reports.
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -27,7 +27,7 @@
 	if perSecond == limiter.Unlimited && !surelyOwn {
 		return
 	}
-	change, changed := k.Balancer.ObserveLimit(k.Now(), sent, id, l.Born, perSecond)
+	change, changed := k.Balancer.ObserveLimit(k.Now(), sent, id, l.StartedAt, perSecond)
 	if changed {
 		k.Log.Info().Str("requestId", k.id).EmbedObject(&change).Msg("forwarder: " + change.String())
 	}
