--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -61,8 +61,8 @@
 	// hops is the whole path. It may change while the lease is held; read it through
 	// Balancer.Path.
 	hops []Hop
-	// HeldOff lists the upstreams that were skipped because their rate limit had no capacity.
-	HeldOff []string
+	// Throttled lists the upstreams that were skipped because their rate limit had no capacity.
+	Throttled []string
 	// requirements are those that the lease was acquired for.
 	requirements Need
 	// tokens is the capacity reserved on each hop, in tokens for each layer.
@@ -425,7 +425,7 @@
 	best.firstHopRequests++
 	b.countSent(now, best)
 	hop := Hop{ID: best.ID, Address: best.Address}
-	return &Lease{requirements: n, First: hop, StartedAt: best.StartedAt, HeldOff: throttled, hops: []Hop{hop}}, ReasonNone
+	return &Lease{requirements: n, First: hop, StartedAt: best.StartedAt, Throttled: throttled, hops: []Hop{hop}}, ReasonNone
 }
 
 // estimatedLoad estimates the requests at an upstream, with less weight for older reports.
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -61,7 +61,7 @@
 		return nil, reason
 	}
 	first := b.upstreams[hops[0].ID]
-	l := &Lease{requirements: n, tokens: n.expectedTokens(), hops: hops, First: hops[0], StartedAt: first.StartedAt, HeldOff: throttled}
+	l := &Lease{requirements: n, tokens: n.expectedTokens(), hops: hops, First: hops[0], StartedAt: first.StartedAt, Throttled: throttled}
 	b.reserve(l)
 	b.countSent(now, first)
 	return l, ReasonNone
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -342,8 +342,8 @@
 	}
 	if l == nil {
 		k.refuseNoUpstream(reason)
-	} else if len(l.HeldOff) > 0 {
-		k.Log.Debug().Str("requestId", k.id).Str("upstream", l.First.ID).Strs("heldOff", l.HeldOff).Msg("forwarder: upstreams passed over for their limit")
+	} else if len(l.Throttled) > 0 {
+		k.Log.Debug().Str("requestId", k.id).Str("upstream", l.First.ID).Strs("heldOff", l.Throttled).Msg("forwarder: upstreams passed over for their limit")
 	}
 	return l
 }
