--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -64,15 +64,15 @@
 	// Throttled lists the upstreams that were skipped because their rate limit had no capacity.
 	Throttled []string
 	// requirements are those that the lease was acquired for.
-	requirements Need
+	requirements Requirements
 	// tokens is the capacity reserved on each hop, in tokens for each layer.
 	tokens float64
 	// started is set once the stream has had its first event.
 	started bool
 }
 
-// Need is what a request requires of its upstreams.
-type Need struct {
+// Requirements is what a request requires of its upstreams.
+type Requirements struct {
 	Service string
 	// Prompt and Answer are the expected numbers of tokens; 0 for a plain service.
 	Prompt, Answer float64
@@ -346,7 +346,7 @@
 
 // Acquire reserves capacity on the cheapest upstreams. The lease is nil unless the reason is
 // ReasonNone.
-func (b *Balancer) Acquire(now time.Duration, n Need) (*Lease, Reason) {
+func (b *Balancer) Acquire(now time.Duration, n Requirements) (*Lease, Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.services[n.Service]
@@ -365,7 +365,7 @@
 }
 
 // allowsFirst reports whether the request may be sent to the upstream.
-func (n *Need) allowsFirst(id string) bool {
+func (n *Requirements) allowsFirst(id string) bool {
 	return n.Firsts == nil || slices.Contains(n.Firsts, id)
 }
 
@@ -387,7 +387,7 @@
 
 // acquirePlain takes the least loaded upstream, judged by its own report and by what this host
 // has in flight there.
-func (b *Balancer) acquirePlain(now time.Duration, n Need) (*Lease, Reason) {
+func (b *Balancer) acquirePlain(now time.Duration, n Requirements) (*Lease, Reason) {
 	var best *upstream
 	var cost float64
 	found := false
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-var modelNeed = balancer.Need{Service: "model", Prompt: 700, Answer: 200}
+var modelNeed = balancer.Requirements{Service: "model", Prompt: 700, Answer: 200}
 
 func ids(hops []balancer.Hop) string {
 	out := ""
@@ -51,7 +51,7 @@
 	return out
 }
 
-func acquire(t *testing.T, b *balancer.Balancer, now time.Duration, n balancer.Need) *balancer.Lease {
+func acquire(t *testing.T, b *balancer.Balancer, now time.Duration, n balancer.Requirements) *balancer.Lease {
 	t.Helper()
 	l, reason := b.Acquire(now, n)
 	is.New(t).Equal(reason, balancer.ReasonNone)
@@ -224,7 +224,7 @@
 func TestPlain(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	n := balancer.Need{Service: "desk"}
+	n := balancer.Requirements{Service: "desk"}
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "adesk ")
 	for range 20 {
 		b.Failed("adesk")
@@ -233,7 +233,7 @@
 	n.Avoid = []string{"bdesk"}
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "adesk ")
 	b.List([]balancer.Upstream{{ID: "adesk", Service: "desk", Address: "a:3", DataCentre: "a", Leaving: true}}, []string{"bdesk"})
-	_, reason := b.Acquire(0, balancer.Need{Service: "desk"})
+	_, reason := b.Acquire(0, balancer.Requirements{Service: "desk"})
 	is.Equal(reason, balancer.ReasonNoUpstream)
 }
 
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -19,7 +19,7 @@
 	b := newBalancer()
 	b.Host = "self"
 	b.SetHosts(hosts)
-	b.Acquire(0, balancer.Need{Service: "desk"})
+	b.Acquire(0, balancer.Requirements{Service: "desk"})
 	for _, id := range ids {
 		_, changed := b.ObserveLimit(limitNamedAt, limitNamedAt, id, 0, perSecond)
 		is.New(t).True(changed)
@@ -29,7 +29,7 @@
 
 // countByFirstHop sends twenty requests a second for some seconds and counts them by their first
 // hop; "" counts refusals.
-func countByFirstHop(b *balancer.Balancer, from time.Duration, seconds int, n balancer.Need) map[string]int {
+func countByFirstHop(b *balancer.Balancer, from time.Duration, seconds int, n balancer.Requirements) map[string]int {
 	out := make(map[string]int)
 	for i := range seconds * 20 {
 		l, _ := b.Acquire(from+time.Duration(i)*50*ms, n)
@@ -109,7 +109,7 @@
 	}
 	b.List(list, nil)
 	is.Equal(b.LimitCount(), 0)
-	is.Equal(countByFirstHop(b, limitNamedAt, 1, balancer.Need{Service: "desk"})["adesk"], 20)
+	is.Equal(countByFirstHop(b, limitNamedAt, 1, balancer.Requirements{Service: "desk"})["adesk"], 20)
 	_, changed := b.ObserveLimit(limitNamedAt, limitNamedAt, "adesk", 0, 3) // an answer of the previous incarnation
 	is.True(!changed)
 	received := balancer.UpstreamLimit{Upstream: "adesk", Limit: limiter.Limit{Version: 1, PerSecond: 3}}
@@ -122,7 +122,7 @@
 // TestLimitHandover guards against a host that joins, or is the last one left, and sends at once
 // beside the host whose place it takes.
 func TestLimitHandover(t *testing.T) {
-	n := balancer.Need{Service: "desk"}
+	n := balancer.Requirements{Service: "desk"}
 	otherHosts := map[string]string{"other": "b"}
 	t.Run("alone in the data centre", func(t *testing.T) {
 		got := countByFirstHop(newLimitedBalancer(t, otherHosts, 1, "adesk", "bdesk"), limitNamedAt, 20, n)
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -46,7 +46,7 @@
 )
 
 // acquirePath acquires the cheapest path over all layers with capacity on each hop.
-func (b *Balancer) acquirePath(now time.Duration, s *matcher.Service, n Need) (*Lease, Reason) {
+func (b *Balancer) acquirePath(now time.Duration, s *matcher.Service, n Requirements) (*Lease, Reason) {
 	cands := b.candidates(now, s, n)
 	throttled := b.excludeThrottled(now, cands, n)
 	hops, reason := b.choosePath(now, s.Engine, n, cands)
@@ -69,12 +69,12 @@
 
 // expectedTokens returns the tokens that a request holds on average over its life, on each of
 // its upstreams: its prompt and half of its answer.
-func (n Need) expectedTokens() float64 { return n.Prompt + n.Answer/2 }
+func (n Requirements) expectedTokens() float64 { return n.Prompt + n.Answer/2 }
 
 // choosePath returns the cheapest path; nil unless the reason is ReasonNone. The path crosses
 // data centres only where none of them holds all layers: full data centres would otherwise fill
 // the pipes between them with prompts, and every stream over a pipe waits there at each event.
-func (b *Balancer) choosePath(now time.Duration, e *matcher.Engine, n Need, cands []picker.Candidate) ([]Hop, Reason) {
+func (b *Balancer) choosePath(now time.Duration, e *matcher.Engine, n Requirements, cands []picker.Candidate) ([]Hop, Reason) {
 	if len(cands) == 0 {
 		return nil, ReasonNoUpstream
 	}
@@ -92,7 +92,7 @@
 }
 
 // candidates returns the upstreams of the service that new work may go to.
-func (b *Balancer) candidates(now time.Duration, s *matcher.Service, n Need) []picker.Candidate {
+func (b *Balancer) candidates(now time.Duration, s *matcher.Service, n Requirements) []picker.Candidate {
 	out := make([]picker.Candidate, 0, len(b.subset.used))
 	for _, u := range b.subset.used {
 		if u.Service != n.Service || u.Layers.Len() == 0 || u.retired || !u.usable(now, n.Avoid) {
@@ -105,7 +105,7 @@
 
 // excludeThrottled excludes the candidates for the first hop whose rate limit allows no request
 // now, and returns their ids. Limits don't apply to later hops.
-func (b *Balancer) excludeThrottled(now time.Duration, cands []picker.Candidate, n Need) []string {
+func (b *Balancer) excludeThrottled(now time.Duration, cands []picker.Candidate, n Requirements) []string {
 	if len(b.limited) == 0 {
 		return nil
 	}
@@ -131,7 +131,7 @@
 
 // crossingPath returns a path across data centres although some data centre holds all layers,
 // since these are full. It returns nil where this host's share of the pipes on it is used up.
-func (b *Balancer) crossingPath(now time.Duration, e *matcher.Engine, n Need, cands []picker.Candidate) []Hop {
+func (b *Balancer) crossingPath(now time.Duration, e *matcher.Engine, n Requirements, cands []picker.Candidate) []Hop {
 	if !b.pipes.available(now) {
 		return nil
 	}
@@ -251,7 +251,7 @@
 
 // transferTime returns how long the activations of a prompt take through a pipe between two data
 // centres; 0 where no bandwidth is declared.
-func transferTime(e *matcher.Engine, n Need) time.Duration {
+func transferTime(e *matcher.Engine, n Requirements) time.Duration {
 	if e.PipeMbps <= 0 {
 		return 0
 	}
@@ -260,7 +260,7 @@
 
 // candidate describes an upstream to the path policy. Its capacity counts in token-layers, and the
 // request takes its tokens times all layers that the upstream holds.
-func (b *Balancer) candidate(now time.Duration, e *matcher.Engine, u *upstream, n Need, tokens float64) picker.Candidate {
+func (b *Balancer) candidate(now time.Duration, e *matcher.Engine, u *upstream, n Requirements, tokens float64) picker.Candidate {
 	card := CardOf(e, u.Card)
 	span := u.Layers
 	free := headroom
@@ -299,7 +299,7 @@
 }
 
 // links returns the cost of a link inside a path between any two data centres.
-func (b *Balancer) links(now time.Duration, e *matcher.Engine, n Need, cands []picker.Candidate) picker.Links {
+func (b *Balancer) links(now time.Duration, e *matcher.Engine, n Requirements, cands []picker.Candidate) picker.Links {
 	cost := crossingCost + time.Duration(n.Answer)*linkTokenDelay + transferTime(e, n)
 	var centres []string
 	seen := make(map[string]bool)
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -327,7 +327,7 @@
 }
 
 // acquire reserves upstreams. It returns nil after refusing the request.
-func (k *call) acquire(n balancer.Need) *balancer.Lease {
+func (k *call) acquire(n balancer.Requirements) *balancer.Lease {
 	if k.keyRequired && !k.keysFresh() {
 		k.refuse(admitter.ReasonNotReady, "keys too old")
 		return nil
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -43,7 +43,7 @@
 // servePlain serves a request whose response is not a stream.
 func (k *call) servePlain(ctx context.Context) {
 	for {
-		l := k.acquire(balancer.Need{})
+		l := k.acquire(balancer.Requirements{})
 		if l == nil {
 			return
 		}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -111,7 +111,7 @@
 
 // acquireOrAbort is acquire for a stream that may have begun: a begun one waits for a path up to
 // resumeTimeout and is aborted when there is none.
-func (k *call) acquireOrAbort(n balancer.Need) *balancer.Lease {
+func (k *call) acquireOrAbort(n balancer.Requirements) *balancer.Lease {
 	if !k.headerSent {
 		return k.acquire(n)
 	}
@@ -163,9 +163,9 @@
 }
 
 // need returns what to reserve for the request, from its token counts or the engine's averages.
-func (k *call) need() balancer.Need {
+func (k *call) need() balancer.Requirements {
 	prompt, maxTokens := parseTokens(k.r.Header.Get(k.Headers.Tokens))
-	n := balancer.Need{Prompt: prompt, Answer: maxTokens, Target: k.route.Target}
+	n := balancer.Requirements{Prompt: prompt, Answer: maxTokens, Target: k.route.Target}
 	e := k.service.Engine
 	if e == nil {
 		return n
