--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -74,8 +74,8 @@
 // Requirements is what a request requires of its upstreams.
 type Requirements struct {
 	Service string
-	// Prompt and Answer are the expected numbers of tokens; 0 for a plain service.
-	Prompt, Answer float64
+	// PromptTokens and Answer are the expected numbers of tokens; 0 for a plain service.
+	PromptTokens, Answer float64
 	// Avoid lists the upstreams that failed this request.
 	Avoid []string
 	// Firsts lists the upstreams that the request may be sent to; nil allows any.
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -69,7 +69,7 @@
 
 // expectedTokens returns the tokens that a request holds on average over its life, on each of
 // its upstreams: its prompt and half of its answer.
-func (n Requirements) expectedTokens() float64 { return n.Prompt + n.Answer/2 }
+func (n Requirements) expectedTokens() float64 { return n.PromptTokens + n.Answer/2 }
 
 // choosePath returns the cheapest path; nil unless the reason is ReasonNone. The path crosses
 // data centres only where none of them holds all layers: full data centres would otherwise fill
@@ -255,7 +255,7 @@
 	if e.PipeMbps <= 0 {
 		return 0
 	}
-	return time.Duration(n.Prompt * e.ActivationBytes * 8 / (e.PipeMbps * 1e6) * float64(time.Second))
+	return time.Duration(n.PromptTokens * e.ActivationBytes * 8 / (e.PipeMbps * 1e6) * float64(time.Second))
 }
 
 // candidate describes an upstream to the path policy. Its capacity counts in token-layers, and the
@@ -269,7 +269,7 @@
 	}
 	known := b.totalUsage(now, u)
 	perStep := e.StepMs + batchWeight*known.requests*(e.PerSequenceMs+e.PerContextMs*tokens/1e3)
-	perLayer := b.pace(now, u) * (n.Prompt/e.ReadPerSecond*card.ReadPace + n.Answer*perStep/1e3*card.Pace) / float64(e.Layers)
+	perLayer := b.pace(now, u) * (n.PromptTokens/e.ReadPerSecond*card.ReadPace + n.Answer*perStep/1e3*card.Pace) / float64(e.Layers)
 	c := picker.Candidate{
 		Name:       u.ID,
 		DataCentre: u.DataCentre,
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -165,13 +165,13 @@
 // need returns what to reserve for the request, from its token counts or the engine's averages.
 func (k *call) need() balancer.Requirements {
 	prompt, maxTokens := parseTokens(k.r.Header.Get(k.Headers.Tokens))
-	n := balancer.Requirements{Prompt: prompt, Answer: maxTokens, Target: k.route.Target}
+	n := balancer.Requirements{PromptTokens: prompt, Answer: maxTokens, Target: k.route.Target}
 	e := k.service.Engine
 	if e == nil {
 		return n
 	}
 	if prompt == 0 {
-		n.Prompt = e.Prompt
+		n.PromptTokens = e.Prompt
 	}
 	expected := parseNumber(k.r.Header.Get(k.Headers.Length))
 	if expected == 0 {
