--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -75,7 +75,7 @@
 type Requirements struct {
 	Service string
 	// PromptTokens and Answer are the expected numbers of tokens; 0 for a plain service.
-	PromptTokens, Answer float64
+	PromptTokens, AnswerTokens float64
 	// Avoid lists the upstreams that failed this request.
 	Avoid []string
 	// Firsts lists the upstreams that the request may be sent to; nil allows any.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-var modelNeed = balancer.Requirements{Service: "model", PromptTokens: 700, Answer: 200}
+var modelNeed = balancer.Requirements{Service: "model", PromptTokens: 700, AnswerTokens: 200}
 
 func ids(hops []balancer.Hop) string {
 	out := ""
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -69,7 +69,7 @@
 
 // expectedTokens returns the tokens that a request holds on average over its life, on each of
 // its upstreams: its prompt and half of its answer.
-func (n Requirements) expectedTokens() float64 { return n.PromptTokens + n.Answer/2 }
+func (n Requirements) expectedTokens() float64 { return n.PromptTokens + n.AnswerTokens/2 }
 
 // choosePath returns the cheapest path; nil unless the reason is ReasonNone. The path crosses
 // data centres only where none of them holds all layers: full data centres would otherwise fill
@@ -269,7 +269,7 @@
 	}
 	known := b.totalUsage(now, u)
 	perStep := e.StepMs + batchWeight*known.requests*(e.PerSequenceMs+e.PerContextMs*tokens/1e3)
-	perLayer := b.pace(now, u) * (n.PromptTokens/e.ReadPerSecond*card.ReadPace + n.Answer*perStep/1e3*card.Pace) / float64(e.Layers)
+	perLayer := b.pace(now, u) * (n.PromptTokens/e.ReadPerSecond*card.ReadPace + n.AnswerTokens*perStep/1e3*card.Pace) / float64(e.Layers)
 	c := picker.Candidate{
 		Name:       u.ID,
 		DataCentre: u.DataCentre,
@@ -300,7 +300,7 @@
 
 // links returns the cost of a link inside a path between any two data centres.
 func (b *Balancer) links(now time.Duration, e *matcher.Engine, n Requirements, cands []picker.Candidate) picker.Links {
-	cost := crossingCost + time.Duration(n.Answer)*linkTokenDelay + transferTime(e, n)
+	cost := crossingCost + time.Duration(n.AnswerTokens)*linkTokenDelay + transferTime(e, n)
 	var centres []string
 	seen := make(map[string]bool)
 	for i := range cands {
--- a/forwarder/moves_test.go
+++ b/forwarder/moves_test.go
@@ -70,7 +70,7 @@
 			Balancer: b, Engines: engines, Pool: &connector.Pool{Dial: acceptAnyDial}, Suspects: new(tracker.Suspects),
 			Now: func() time.Duration { return time.Since(started) + time.Second }, Log: zerolog.Nop(),
 		}
-		l, reason := b.Acquire(f.Now(), balancer.Requirements{Service: "model", PromptTokens: 700, Answer: 200})
+		l, reason := b.Acquire(f.Now(), balancer.Requirements{Service: "model", PromptTokens: 700, AnswerTokens: 200})
 		is.Equal(reason, balancer.ReasonNone)
 		a := &attempt{id: "r", lease: l, cancel: func(error) { t.Error("stream was resumed as a new request; want its path changed") }}
 		a.begun.Store(true)
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -74,7 +74,7 @@
 		leases := make([]*balancer.Lease, hosts)
 		for i := range all {
 			all[i] = newPipelineBalancer()
-			leases[i], _ = all[i].Acquire(now(), balancer.Requirements{Service: "model", PromptTokens: 700, Answer: 200})
+			leases[i], _ = all[i].Acquire(now(), balancer.Requirements{Service: "model", PromptTokens: 700, AnswerTokens: 200})
 			p := &pacer.Pacer{Balancer: all[i], Engines: e, Now: now, Log: zerolog.Nop()}
 			go p.Run(ctx)
 		}
