--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -78,8 +78,8 @@
 	PromptTokens, AnswerTokens float64
 	// Avoid lists the upstreams that failed this request.
 	Avoid []string
-	// Firsts lists the upstreams that the request may be sent to; nil allows any.
-	Firsts []string
+	// AllowedFirst lists the upstreams that the request may be sent to; nil allows any.
+	AllowedFirst []string
 	// Begun is set for a stream that has to go on. It may use the capacity that is
 	// otherwise kept free.
 	Begun bool
@@ -366,7 +366,7 @@
 
 // allowsFirst reports whether the request may be sent to the upstream.
 func (n *Requirements) allowsFirst(id string) bool {
-	return n.Firsts == nil || slices.Contains(n.Firsts, id)
+	return n.AllowedFirst == nil || slices.Contains(n.AllowedFirst, id)
 }
 
 // usable reports whether new work may go to u.
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -117,7 +117,7 @@
 	}
 	n.Service = k.service.Name
 	n.Begun = true
-	n.Firsts = k.allowedFirsts()
+	n.AllowedFirst = k.allowedFirsts()
 	for until := k.Now() + resumeTimeout; ; {
 		n.Avoid = k.avoid
 		l, _ := k.Balancer.Acquire(k.Now(), n)
