--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -80,9 +80,9 @@
 	Avoid []string
 	// AllowedFirst lists the upstreams that the request may be sent to; nil allows any.
 	AllowedFirst []string
-	// Begun is set for a stream that has to go on. It may use the capacity that is
+	// InProgress is set for a stream that has to go on. It may use the capacity that is
 	// otherwise kept free.
-	Begun bool
+	InProgress bool
 	// Target is how soon the first event is wanted; 0 when that is not known.
 	Target time.Duration
 }
@@ -400,7 +400,7 @@
 			continue
 		}
 		found = true
-		if !b.withinLimit(now, u, n.Begun) {
+		if !b.withinLimit(now, u, n.InProgress) {
 			throttled = append(throttled, u.ID)
 			continue
 		}
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -79,7 +79,7 @@
 			b.Release(l)
 		}
 		begun := modelNeed
-		begun.Begun = true
+		begun.InProgress = true
 		_, reason := b.Acquire(limitNamedAt+10*time.Second, begun)
 		is.Equal(reason, balancer.ReasonNone)
 	})
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -112,7 +112,7 @@
 	var throttled []string
 	for i := range cands {
 		c := &cands[i]
-		if c.First == 0 && !c.Excluded && !b.withinLimit(now, b.upstreams[c.Name], n.Begun) {
+		if c.First == 0 && !c.Excluded && !b.withinLimit(now, b.upstreams[c.Name], n.InProgress) {
 			c.Excluded = true
 			throttled = append(throttled, c.Name)
 		}
@@ -264,7 +264,7 @@
 	card := CardOf(e, u.Card)
 	span := u.Layers
 	free := headroom
-	if n.Begun {
+	if n.InProgress {
 		free = 0
 	}
 	known := b.totalUsage(now, u)
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -116,7 +116,7 @@
 		return k.acquire(n)
 	}
 	n.Service = k.service.Name
-	n.Begun = true
+	n.InProgress = true
 	n.AllowedFirst = k.allowedFirsts()
 	for until := k.Now() + resumeTimeout; ; {
 		n.Avoid = k.avoid
