--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -83,8 +83,8 @@
 	// InProgress is set for a stream that has to go on. It may use the capacity that is
 	// otherwise kept free.
 	InProgress bool
-	// Target is how soon the first event is wanted; 0 when that is not known.
-	Target time.Duration
+	// FirstEventTarget is how soon the first event is wanted; 0 when that is not known.
+	FirstEventTarget time.Duration
 }
 
 //go:generate enumer -type Reason -trimprefix Reason -transform title-lower -output reason_gen.go
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -182,7 +182,7 @@
 	is := is.New(t)
 	b := newBalancer()
 	n := modelNeed
-	n.Target = 500 * ms
+	n.FirstEventTarget = 500 * ms
 	first := func(now, took time.Duration) string {
 		l := acquire(t, b, now, n)
 		defer b.Release(l)
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -289,8 +289,8 @@
 	}
 	// A stage with too few upstreams delays every first event of its data centre, while the cost
 	// of its own steps hardly shows that.
-	if n.Target > 0 {
-		c.Bias += lateBias * float64(b.localDelay(now, u.DataCentre).delay) / float64(n.Target)
+	if n.FirstEventTarget > 0 {
+		c.Bias += lateBias * float64(b.localDelay(now, u.DataCentre).delay) / float64(n.FirstEventTarget)
 	}
 	if b.isSuspected(now, u) {
 		c.Bias += suspectBias
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -165,7 +165,7 @@
 // need returns what to reserve for the request, from its token counts or the engine's averages.
 func (k *call) need() balancer.Requirements {
 	prompt, maxTokens := parseTokens(k.r.Header.Get(k.Headers.Tokens))
-	n := balancer.Requirements{PromptTokens: prompt, AnswerTokens: maxTokens, Target: k.route.Target}
+	n := balancer.Requirements{PromptTokens: prompt, AnswerTokens: maxTokens, FirstEventTarget: k.route.Target}
 	e := k.service.Engine
 	if e == nil {
 		return n
