--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -9,8 +9,8 @@
 // Member is an upstream with this host's view of it.
 type Member struct {
 	Upstream
-	// Out is set while it is dead or ejected.
-	Out bool
+	// Unavailable is set while it is dead or ejected.
+	Unavailable bool
 	// Streams counts the requests of all hosts whose path it is on.
 	Streams int
 }
@@ -22,7 +22,7 @@
 	var out []Member
 	for _, u := range b.upstreams {
 		if u.Service == service {
-			out = append(out, Member{Upstream: u.Upstream, Out: u.dead || u.ejectedUntil > now, Streams: int(b.totalUsage(now, u).requests)})
+			out = append(out, Member{Upstream: u.Upstream, Unavailable: u.dead || u.ejectedUntil > now, Streams: int(b.totalUsage(now, u).requests)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.Address, b.Address) })
--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -162,7 +162,7 @@
 	}
 	for _, m := range placer.PlanFor(modelOf(s.Engine), members, o.Holds) {
 		u := byID[m.ID]
-		if u == nil || u.Out || !o.Holds(u.DataCentre) {
+		if u == nil || u.Unavailable || !o.Holds(u.DataCentre) {
 			continue
 		}
 		o.addPending(s.Engine, u, m.Span)
@@ -250,7 +250,7 @@
 // holding the ordered span: it takes no new requests for its old layers.
 func (o *Orderer) memberOf(e *matcher.Engine, u *balancer.Member) placer.Member {
 	card := balancer.CardOf(e, u.Card)
-	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Layers), Unreachable: u.Out, Streams: u.Streams}
+	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Layers), Unreachable: u.Unavailable, Streams: u.Streams}
 	if o.orderPending(u) {
 		m.Pending = true
 		o.mu.Lock()
