--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -11,8 +11,8 @@
 	Upstream
 	// Unavailable is set while it is dead or ejected.
 	Unavailable bool
-	// Streams counts the requests of all hosts whose path it is on.
-	Streams int
+	// InFlight counts the requests of all hosts whose path it is on.
+	InFlight int
 }
 
 // Fleet returns the upstreams of a service, sorted by address.
@@ -22,7 +22,7 @@
 	var out []Member
 	for _, u := range b.upstreams {
 		if u.Service == service {
-			out = append(out, Member{Upstream: u.Upstream, Unavailable: u.dead || u.ejectedUntil > now, Streams: int(b.totalUsage(now, u).requests)})
+			out = append(out, Member{Upstream: u.Upstream, Unavailable: u.dead || u.ejectedUntil > now, InFlight: int(b.totalUsage(now, u).requests)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.Address, b.Address) })
