--- a/balancer/full_test.go
+++ b/balancer/full_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	var r balancer.Report
 	for _, id := range upstreams {
-		r.Usage = append(r.Usage, balancer.Usage{Upstream: id, Requests: 100, Room: 1 << 30})
+		r.Usage = append(r.Usage, balancer.Usage{Upstream: id, Requests: 100, TokenLayers: 1 << 30})
 	}
 	is.New(t).NoErr(b.SetReport(now, "other", r))
 }
--- a/balancer/path_bench_test.go
+++ b/balancer/path_bench_test.go
@@ -24,7 +24,7 @@
 			for i := range size.upstreams {
 				id, at := fmt.Sprint("u", i), i%ranges
 				list = append(list, balancer.Upstream{ID: id, Service: "model", Address: id, DataCentre: fmt.Sprint("dc", i/ranges%3), Card: "slow", Layers: balancer.Span{From: 8 * at, To: 8 * (at + 1)}})
-				usage = append(usage, balancer.Usage{Upstream: id, Requests: min(1, 119/int64(size.hosts)), Room: 24000 / int64(size.hosts)})
+				usage = append(usage, balancer.Usage{Upstream: id, Requests: min(1, 119/int64(size.hosts)), TokenLayers: 24000 / int64(size.hosts)})
 			}
 			bal.List(list, nil)
 			bal.SetHosts(hostDataCentres(size.hosts))
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -15,8 +15,8 @@
 	Upstream string
 	// Requests counts the requests whose path the upstream is on.
 	Requests int64
-	// Room is the capacity that they take there, in tokens times layers.
-	Room int64
+	// TokenLayers is the capacity that they take there, in tokens times layers.
+	TokenLayers int64
 	// Dead counts the hosts from which it accepts no connection. Suspected counts the hosts that
 	// ejected it some seconds ago and have started no stream over it since.
 	Dead, Suspected int64
@@ -53,7 +53,7 @@
 		most  float64
 	}{
 		{"requests", float64(u.Requests), maxRequests},
-		{"room", float64(u.Room), maxTokenLayers},
+		{"room", float64(u.TokenLayers), maxTokenLayers},
 		{"dead", float64(u.Dead), maxHosts},
 		{"suspected", float64(u.Suspected), maxHosts},
 		{"paced", float64(u.Paced), maxHosts},
@@ -68,13 +68,13 @@
 
 // empty reports whether there is nothing to report.
 func (u *Usage) empty() bool {
-	return u.Requests == 0 && u.Room == 0 && u.Dead == 0 && u.Suspected == 0 && u.Paced == 0
+	return u.Requests == 0 && u.TokenLayers == 0 && u.Dead == 0 && u.Suspected == 0 && u.Paced == 0
 }
 
 // add adds a part to the sum.
 func (u *Usage) add(part *Usage) {
 	u.Requests += part.Requests
-	u.Room += part.Room
+	u.TokenLayers += part.TokenLayers
 	u.Dead += part.Dead
 	u.Suspected += part.Suspected
 	u.Paced += part.Paced
@@ -83,7 +83,7 @@
 
 func (u *Usage) subtract(part *Usage) {
 	u.Requests -= part.Requests
-	u.Room -= part.Room
+	u.TokenLayers -= part.TokenLayers
 	u.Dead -= part.Dead
 	u.Suspected -= part.Suspected
 	u.Paced -= part.Paced
@@ -214,7 +214,7 @@
 
 // usage returns what this host has in flight over an upstream and observed of it.
 func (u *upstream) usage(now time.Duration) Usage {
-	out := Usage{Upstream: u.ID, Requests: int64(u.requests), Room: int64(math.Round(u.reserved)), Pace: u.ownPace(now)}
+	out := Usage{Upstream: u.ID, Requests: int64(u.requests), TokenLayers: int64(math.Round(u.reserved)), Pace: u.ownPace(now)}
 	if u.dead {
 		out.Dead = 1
 	}
@@ -362,7 +362,7 @@
 	}
 	unreachable := func(u *Usage) int64 { return min(1, u.Dead+u.Suspected) }
 	slices.SortFunc(r.Usage, func(a, b Usage) int {
-		return cmp.Or(cmp.Compare(unreachable(&b), unreachable(&a)), cmp.Compare(b.Room, a.Room), strings.Compare(a.Upstream, b.Upstream))
+		return cmp.Or(cmp.Compare(unreachable(&b), unreachable(&a)), cmp.Compare(b.TokenLayers, a.TokenLayers), strings.Compare(a.Upstream, b.Upstream))
 	})
 	r.Usage = r.Usage[:most]
 	return r
@@ -426,7 +426,7 @@
 	out := usageTotal{float64(u.requests) * share, u.reserved * share}
 	if sum != nil {
 		out.requests += float64(sum.Requests)
-		out.tokenLayers += float64(sum.Room)
+		out.tokenLayers += float64(sum.TokenLayers)
 	}
 	return out
 }
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -56,7 +56,7 @@
 	r := balancer.Report{Hosts: map[string]int{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "dataCentre"): 1}}
 	for _, id := range []string{"a1", "a2", "b1"} {
 		u := balancer.Usage{Upstream: id, Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests"))}
-		u.Room = u.Requests * 1000
+		u.TokenLayers = u.Requests * 1000
 		u.Suspected = int64(rapid.IntRange(0, 1).Draw(t, "suspected"))
 		if rapid.Bool().Draw(t, "paced") {
 			u.Paced, u.Pace = 1, float64(rapid.IntRange(1, 12).Draw(t, "pace"))
@@ -79,7 +79,7 @@
 		}
 		for _, u := range r.Usage {
 			sum := byID[u.Upstream]
-			byID[u.Upstream] = balancer.Usage{Upstream: u.Upstream, Requests: sum.Requests + u.Requests, Room: sum.Room + u.Room, Suspected: sum.Suspected + u.Suspected, Paced: sum.Paced + u.Paced}
+			byID[u.Upstream] = balancer.Usage{Upstream: u.Upstream, Requests: sum.Requests + u.Requests, TokenLayers: sum.TokenLayers + u.TokenLayers, Suspected: sum.Suspected + u.Suspected, Paced: sum.Paced + u.Paced}
 		}
 	}
 	for _, u := range byID {
@@ -111,7 +111,7 @@
 	for _, bad := range []balancer.Usage{
 		{Upstream: "a1", Requests: -1},
 		{Upstream: "a1", Requests: 1 << 40},
-		{Upstream: "a1", Room: math.MinInt64},
+		{Upstream: "a1", TokenLayers: math.MinInt64},
 		{Upstream: "a1", Paced: 1, Pace: math.NaN()},
 		{Upstream: "a1", Paced: 1, Pace: math.Inf(1)},
 		{Upstream: "a1", Dead: -3},
@@ -119,7 +119,7 @@
 		t.Run(fmt.Sprintf("%+v", bad), func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer()
-			good := balancer.Usage{Upstream: "b1", Requests: 2, Room: 100}
+			good := balancer.Usage{Upstream: "b1", Requests: 2, TokenLayers: 100}
 			err := b.SetReport(0, "host-b", balancer.Report{Hosts: map[string]int{"a": 1, "b": -7}, Usage: []balancer.Usage{bad, good}})
 			var usage *balancer.UsageError
 			is.True(err != nil)
@@ -156,7 +156,7 @@
 	is := is.New(t)
 	r := balancer.Report{}
 	for i := range 100 {
-		r.Usage = append(r.Usage, balancer.Usage{Upstream: fmt.Sprint("u", i), Room: int64(i)})
+		r.Usage = append(r.Usage, balancer.Usage{Upstream: fmt.Sprint("u", i), TokenLayers: int64(i)})
 	}
 	r.Usage[3].Dead = 1
 	got := r.Fullest(10)
