--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -17,9 +17,9 @@
 	Requests int64
 	// TokenLayers is the capacity that they take there, in tokens times layers.
 	TokenLayers int64
-	// Dead counts the hosts from which it accepts no connection. Suspected counts the hosts that
+	// DeadHosts counts the hosts from which it accepts no connection. Suspected counts the hosts that
 	// ejected it some seconds ago and have started no stream over it since.
-	Dead, Suspected int64
+	DeadHosts, Suspected int64
 	// Pace is the highest factor by which it is slower than its kind of accelerator that it
 	// reported to one of the Paced hosts; 0 where Paced is 0.
 	Pace  float64
@@ -54,7 +54,7 @@
 	}{
 		{"requests", float64(u.Requests), maxRequests},
 		{"room", float64(u.TokenLayers), maxTokenLayers},
-		{"dead", float64(u.Dead), maxHosts},
+		{"dead", float64(u.DeadHosts), maxHosts},
 		{"suspected", float64(u.Suspected), maxHosts},
 		{"paced", float64(u.Paced), maxHosts},
 		{"pace", u.Pace, maxPace},
@@ -68,14 +68,14 @@
 
 // empty reports whether there is nothing to report.
 func (u *Usage) empty() bool {
-	return u.Requests == 0 && u.TokenLayers == 0 && u.Dead == 0 && u.Suspected == 0 && u.Paced == 0
+	return u.Requests == 0 && u.TokenLayers == 0 && u.DeadHosts == 0 && u.Suspected == 0 && u.Paced == 0
 }
 
 // add adds a part to the sum.
 func (u *Usage) add(part *Usage) {
 	u.Requests += part.Requests
 	u.TokenLayers += part.TokenLayers
-	u.Dead += part.Dead
+	u.DeadHosts += part.DeadHosts
 	u.Suspected += part.Suspected
 	u.Paced += part.Paced
 	u.Pace = max(u.Pace, part.Pace)
@@ -84,7 +84,7 @@
 func (u *Usage) subtract(part *Usage) {
 	u.Requests -= part.Requests
 	u.TokenLayers -= part.TokenLayers
-	u.Dead -= part.Dead
+	u.DeadHosts -= part.DeadHosts
 	u.Suspected -= part.Suspected
 	u.Paced -= part.Paced
 }
@@ -216,7 +216,7 @@
 func (u *upstream) usage(now time.Duration) Usage {
 	out := Usage{Upstream: u.ID, Requests: int64(u.requests), TokenLayers: int64(math.Round(u.reserved)), Pace: u.ownPace(now)}
 	if u.dead {
-		out.Dead = 1
+		out.DeadHosts = 1
 	}
 	if u.suspectUntil > now {
 		out.Suspected = 1
@@ -360,7 +360,7 @@
 	if len(r.Usage) <= most {
 		return r
 	}
-	unreachable := func(u *Usage) int64 { return min(1, u.Dead+u.Suspected) }
+	unreachable := func(u *Usage) int64 { return min(1, u.DeadHosts+u.Suspected) }
 	slices.SortFunc(r.Usage, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(unreachable(&b), unreachable(&a)), cmp.Compare(b.TokenLayers, a.TokenLayers), strings.Compare(a.Upstream, b.Upstream))
 	})
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -114,7 +114,7 @@
 		{Upstream: "a1", TokenLayers: math.MinInt64},
 		{Upstream: "a1", Paced: 1, Pace: math.NaN()},
 		{Upstream: "a1", Paced: 1, Pace: math.Inf(1)},
-		{Upstream: "a1", Dead: -3},
+		{Upstream: "a1", DeadHosts: -3},
 	} {
 		t.Run(fmt.Sprintf("%+v", bad), func(t *testing.T) {
 			is := is.New(t)
@@ -158,7 +158,7 @@
 	for i := range 100 {
 		r.Usage = append(r.Usage, balancer.Usage{Upstream: fmt.Sprint("u", i), TokenLayers: int64(i)})
 	}
-	r.Usage[3].Dead = 1
+	r.Usage[3].DeadHosts = 1
 	got := r.Fullest(10)
 	is.Equal(len(got.Usage), 10)
 	is.Equal(got.Usage[0].Upstream, "u3")
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -227,7 +227,7 @@
 func (fl *fleet) deadCount(m *member, id string) int64 {
 	for _, u := range m.balancer.Sum(fl.now(), func(string) bool { return false }, nil).Usage {
 		if u.Upstream == id {
-			return u.Dead
+			return u.DeadHosts
 		}
 	}
 	return 0
