--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -19,7 +19,7 @@
 	TokenLayers int64
 	// DeadHosts counts the hosts from which it accepts no connection. Suspected counts the hosts that
 	// ejected it some seconds ago and have started no stream over it since.
-	DeadHosts, Suspected int64
+	DeadHosts, SuspectingHosts int64
 	// Pace is the highest factor by which it is slower than its kind of accelerator that it
 	// reported to one of the Paced hosts; 0 where Paced is 0.
 	Pace  float64
@@ -55,7 +55,7 @@
 		{"requests", float64(u.Requests), maxRequests},
 		{"room", float64(u.TokenLayers), maxTokenLayers},
 		{"dead", float64(u.DeadHosts), maxHosts},
-		{"suspected", float64(u.Suspected), maxHosts},
+		{"suspected", float64(u.SuspectingHosts), maxHosts},
 		{"paced", float64(u.Paced), maxHosts},
 		{"pace", u.Pace, maxPace},
 	} {
@@ -68,7 +68,7 @@
 
 // empty reports whether there is nothing to report.
 func (u *Usage) empty() bool {
-	return u.Requests == 0 && u.TokenLayers == 0 && u.DeadHosts == 0 && u.Suspected == 0 && u.Paced == 0
+	return u.Requests == 0 && u.TokenLayers == 0 && u.DeadHosts == 0 && u.SuspectingHosts == 0 && u.Paced == 0
 }
 
 // add adds a part to the sum.
@@ -76,7 +76,7 @@
 	u.Requests += part.Requests
 	u.TokenLayers += part.TokenLayers
 	u.DeadHosts += part.DeadHosts
-	u.Suspected += part.Suspected
+	u.SuspectingHosts += part.SuspectingHosts
 	u.Paced += part.Paced
 	u.Pace = max(u.Pace, part.Pace)
 }
@@ -85,7 +85,7 @@
 	u.Requests -= part.Requests
 	u.TokenLayers -= part.TokenLayers
 	u.DeadHosts -= part.DeadHosts
-	u.Suspected -= part.Suspected
+	u.SuspectingHosts -= part.SuspectingHosts
 	u.Paced -= part.Paced
 }
 
@@ -219,7 +219,7 @@
 		out.DeadHosts = 1
 	}
 	if u.suspectUntil > now {
-		out.Suspected = 1
+		out.SuspectingHosts = 1
 	}
 	if out.Pace > 0 {
 		out.Paced = 1
@@ -360,7 +360,7 @@
 	if len(r.Usage) <= most {
 		return r
 	}
-	unreachable := func(u *Usage) int64 { return min(1, u.DeadHosts+u.Suspected) }
+	unreachable := func(u *Usage) int64 { return min(1, u.DeadHosts+u.SuspectingHosts) }
 	slices.SortFunc(r.Usage, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(unreachable(&b), unreachable(&a)), cmp.Compare(b.TokenLayers, a.TokenLayers), strings.Compare(a.Upstream, b.Upstream))
 	})
@@ -407,7 +407,7 @@
 		return true
 	}
 	sum := b.reportedUsage(now, u)
-	return sum != nil && sum.Suspected > 0
+	return sum != nil && sum.SuspectingHosts > 0
 }
 
 // reportedUsage returns the sum of all reports on an upstream; nil if there is none.
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -57,7 +57,7 @@
 	for _, id := range []string{"a1", "a2", "b1"} {
 		u := balancer.Usage{Upstream: id, Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests"))}
 		u.TokenLayers = u.Requests * 1000
-		u.Suspected = int64(rapid.IntRange(0, 1).Draw(t, "suspected"))
+		u.SuspectingHosts = int64(rapid.IntRange(0, 1).Draw(t, "suspected"))
 		if rapid.Bool().Draw(t, "paced") {
 			u.Paced, u.Pace = 1, float64(rapid.IntRange(1, 12).Draw(t, "pace"))
 		}
@@ -79,7 +79,7 @@
 		}
 		for _, u := range r.Usage {
 			sum := byID[u.Upstream]
-			byID[u.Upstream] = balancer.Usage{Upstream: u.Upstream, Requests: sum.Requests + u.Requests, TokenLayers: sum.TokenLayers + u.TokenLayers, Suspected: sum.Suspected + u.Suspected, Paced: sum.Paced + u.Paced}
+			byID[u.Upstream] = balancer.Usage{Upstream: u.Upstream, Requests: sum.Requests + u.Requests, TokenLayers: sum.TokenLayers + u.TokenLayers, SuspectingHosts: sum.SuspectingHosts + u.SuspectingHosts, Paced: sum.Paced + u.Paced}
 		}
 	}
 	for _, u := range byID {
