--- a/balancer/pace.go
+++ b/balancer/pace.go
@@ -43,7 +43,7 @@
 		others := b.reportedUsage(now, u)
 		reporters := int64(0)
 		if others != nil {
-			reporters = others.Paced
+			reporters = others.PaceHosts
 		}
 		due := u.paceAt == 0 || now-u.paceAt >= paceQueryInterval
 		late := u.slowEvents >= minSlowEvents && now-u.slowSince <= 2*slowWindow && reporters == 0
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -22,8 +22,8 @@
 	DeadHosts, SuspectingHosts int64
 	// Pace is the highest factor by which it is slower than its kind of accelerator that it
 	// reported to one of the Paced hosts; 0 where Paced is 0.
-	Pace  float64
-	Paced int64
+	Pace      float64
+	PaceHosts int64
 }
 
 // Upper bounds of the values that one report may have for an upstream.
@@ -56,7 +56,7 @@
 		{"room", float64(u.TokenLayers), maxTokenLayers},
 		{"dead", float64(u.DeadHosts), maxHosts},
 		{"suspected", float64(u.SuspectingHosts), maxHosts},
-		{"paced", float64(u.Paced), maxHosts},
+		{"paced", float64(u.PaceHosts), maxHosts},
 		{"pace", u.Pace, maxPace},
 	} {
 		if f.value < 0 || f.value > f.most || math.IsNaN(f.value) {
@@ -68,7 +68,7 @@
 
 // empty reports whether there is nothing to report.
 func (u *Usage) empty() bool {
-	return u.Requests == 0 && u.TokenLayers == 0 && u.DeadHosts == 0 && u.SuspectingHosts == 0 && u.Paced == 0
+	return u.Requests == 0 && u.TokenLayers == 0 && u.DeadHosts == 0 && u.SuspectingHosts == 0 && u.PaceHosts == 0
 }
 
 // add adds a part to the sum.
@@ -77,7 +77,7 @@
 	u.TokenLayers += part.TokenLayers
 	u.DeadHosts += part.DeadHosts
 	u.SuspectingHosts += part.SuspectingHosts
-	u.Paced += part.Paced
+	u.PaceHosts += part.PaceHosts
 	u.Pace = max(u.Pace, part.Pace)
 }
 
@@ -86,7 +86,7 @@
 	u.TokenLayers -= part.TokenLayers
 	u.DeadHosts -= part.DeadHosts
 	u.SuspectingHosts -= part.SuspectingHosts
-	u.Paced -= part.Paced
+	u.PaceHosts -= part.PaceHosts
 }
 
 // Report is the usage of one host, or the sum over several hosts.
@@ -222,7 +222,7 @@
 		out.SuspectingHosts = 1
 	}
 	if out.Pace > 0 {
-		out.Paced = 1
+		out.PaceHosts = 1
 	}
 	return out
 }
@@ -344,7 +344,7 @@
 			out.subtract(&u)
 		}
 	}
-	if out.Paced == 0 {
+	if out.PaceHosts == 0 {
 		out.Pace = 0
 	}
 	if u := b.upstreams[id]; u != nil {
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -59,7 +59,7 @@
 		u.TokenLayers = u.Requests * 1000
 		u.SuspectingHosts = int64(rapid.IntRange(0, 1).Draw(t, "suspected"))
 		if rapid.Bool().Draw(t, "paced") {
-			u.Paced, u.Pace = 1, float64(rapid.IntRange(1, 12).Draw(t, "pace"))
+			u.PaceHosts, u.Pace = 1, float64(rapid.IntRange(1, 12).Draw(t, "pace"))
 		}
 		if u != (balancer.Usage{Upstream: id}) {
 			r.Usage = append(r.Usage, u)
@@ -79,7 +79,7 @@
 		}
 		for _, u := range r.Usage {
 			sum := byID[u.Upstream]
-			byID[u.Upstream] = balancer.Usage{Upstream: u.Upstream, Requests: sum.Requests + u.Requests, TokenLayers: sum.TokenLayers + u.TokenLayers, SuspectingHosts: sum.SuspectingHosts + u.SuspectingHosts, Paced: sum.Paced + u.Paced}
+			byID[u.Upstream] = balancer.Usage{Upstream: u.Upstream, Requests: sum.Requests + u.Requests, TokenLayers: sum.TokenLayers + u.TokenLayers, SuspectingHosts: sum.SuspectingHosts + u.SuspectingHosts, PaceHosts: sum.PaceHosts + u.PaceHosts}
 		}
 	}
 	for _, u := range byID {
@@ -112,8 +112,8 @@
 		{Upstream: "a1", Requests: -1},
 		{Upstream: "a1", Requests: 1 << 40},
 		{Upstream: "a1", TokenLayers: math.MinInt64},
-		{Upstream: "a1", Paced: 1, Pace: math.NaN()},
-		{Upstream: "a1", Paced: 1, Pace: math.Inf(1)},
+		{Upstream: "a1", PaceHosts: 1, Pace: math.NaN()},
+		{Upstream: "a1", PaceHosts: 1, Pace: math.Inf(1)},
 		{Upstream: "a1", DeadHosts: -3},
 	} {
 		t.Run(fmt.Sprintf("%+v", bad), func(t *testing.T) {
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	b := newBalancer()
 	report := func(pace float64) balancer.Report {
-		return balancer.Report{Hosts: map[string]int{"a": 1}, Usage: []balancer.Usage{{Upstream: "a1", Paced: 1, Pace: pace}}}
+		return balancer.Report{Hosts: map[string]int{"a": 1}, Usage: []balancer.Usage{{Upstream: "a1", PaceHosts: 1, Pace: pace}}}
 	}
 	is.NoErr(b.SetReport(0, "host-b", report(12)))
 	is.NoErr(b.SetReport(time.Second, "host-c", report(3)))
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -201,7 +201,7 @@
 		is.True(hosts["b"].balancer.Out(10*time.Second, "one"))
 		is.True(hosts["b"].balancer.SetPace(3*time.Second, "one", 4))
 		time.Sleep(time.Second)
-		want := []balancer.Usage{{Upstream: "one", DeadHosts: 1, SuspectingHosts: 1, Pace: 4, Paced: 1}}
+		want := []balancer.Usage{{Upstream: "one", DeadHosts: 1, SuspectingHosts: 1, Pace: 4, PaceHosts: 1}}
 		is.Equal(hosts["a"].balancer.ReportOf("dataCentre:b").Usage, want)
 		is.Equal(hosts["c"].balancer.ReportOf("dataCentre:b").Usage, want)
 	})
