--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -38,7 +38,7 @@
 // limiter.Unlimited stands for no limit.
 type LimitChange struct {
 	Upstream, Address string
-	Was, Is           float64
+	Before, Is        float64
 	// Age is how long ago an answer last named the limit.
 	Age time.Duration
 }
@@ -48,7 +48,7 @@
 	switch {
 	case ch.Is == limiter.Unlimited:
 		return "limit of upstream ended"
-	case ch.Was == limiter.Unlimited:
+	case ch.Before == limiter.Unlimited:
 		return "upstream names a limit"
 	default:
 		return "limit of upstream changed"
@@ -58,8 +58,8 @@
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (ch *LimitChange) MarshalZerologObject(e *zerolog.Event) {
 	e.Str("upstream", ch.Upstream).Str("address", ch.Address).Dur("age", ch.Age)
-	if ch.Was != limiter.Unlimited {
-		e.Float64("was", ch.Was)
+	if ch.Before != limiter.Unlimited {
+		e.Float64("was", ch.Before)
 	}
 	if ch.Is != limiter.Unlimited {
 		e.Float64("perSecond", ch.Is)
@@ -99,7 +99,7 @@
 		// Requests that were sent before count against the lower limit as well.
 		l.bucket = limiter.NewBucket(now)
 	}
-	return LimitChange{Upstream: id, Address: u.Address, Was: was, Is: l.Rate(), Age: now - l.Heard}, true
+	return LimitChange{Upstream: id, Address: u.Address, Before: was, Is: l.Rate(), Age: now - l.Heard}, true
 }
 
 // UnreadableLimit records that an upstream named a limit that can't be parsed. It reports
