--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -38,7 +38,7 @@
 // limiter.Unlimited stands for no limit.
 type LimitChange struct {
 	Upstream, Address string
-	Before, Is        float64
+	Before, After     float64
 	// Age is how long ago an answer last named the limit.
 	Age time.Duration
 }
@@ -46,7 +46,7 @@
 // String describes the change for logs.
 func (ch *LimitChange) String() string {
 	switch {
-	case ch.Is == limiter.Unlimited:
+	case ch.After == limiter.Unlimited:
 		return "limit of upstream ended"
 	case ch.Before == limiter.Unlimited:
 		return "upstream names a limit"
@@ -61,8 +61,8 @@
 	if ch.Before != limiter.Unlimited {
 		e.Float64("was", ch.Before)
 	}
-	if ch.Is != limiter.Unlimited {
-		e.Float64("perSecond", ch.Is)
+	if ch.After != limiter.Unlimited {
+		e.Float64("perSecond", ch.After)
 	}
 }
 
@@ -99,7 +99,7 @@
 		// Requests that were sent before count against the lower limit as well.
 		l.bucket = limiter.NewBucket(now)
 	}
-	return LimitChange{Upstream: id, Address: u.Address, Before: was, Is: l.Rate(), Age: now - l.Heard}, true
+	return LimitChange{Upstream: id, Address: u.Address, Before: was, After: l.Rate(), Age: now - l.Heard}, true
 }
 
 // UnreadableLimit records that an upstream named a limit that can't be parsed. It reports
