--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -75,7 +75,7 @@
 
 // MergeLimit applies a limit as another host knows it. It reports whether the limit changed.
 func (b *Balancer) MergeLimit(now time.Duration, other UpstreamLimit) (LimitChange, bool) {
-	return b.changeLimit(now, other.Upstream, other.Born, func(l *limiter.Limit) bool { return l.Merge(now, other.Limit) })
+	return b.changeLimit(now, other.Upstream, other.StartedAt, func(l *limiter.Limit) bool { return l.Merge(now, other.Limit) })
 }
 
 func (b *Balancer) changeLimit(now time.Duration, id string, born int64, change func(l *limiter.Limit) bool) (LimitChange, bool) {
@@ -118,8 +118,8 @@
 // UpstreamLimit is the rate limit of an upstream's incarnation, as hosts exchange it.
 type UpstreamLimit struct {
 	Upstream string
-	// Born is when the incarnation was started, in Unix milliseconds.
-	Born int64
+	// StartedAt is when the incarnation was started, in Unix milliseconds.
+	StartedAt int64
 	limiter.Limit
 }
 
@@ -130,7 +130,7 @@
 	defer b.mu.Unlock()
 	var recent, rest []UpstreamLimit
 	for id, u := range b.limited {
-		one := UpstreamLimit{Upstream: id, Born: u.StartedAt, Limit: u.limit.Limit}
+		one := UpstreamLimit{Upstream: id, StartedAt: u.StartedAt, Limit: u.limit.Limit}
 		if now-u.limit.changedAt <= limitNewsAge {
 			recent = append(recent, one)
 		} else {
--- a/sharer/limits.go
+++ b/sharer/limits.go
@@ -32,7 +32,7 @@
 	out := make([]*peer.Limit, len(list))
 	for i := range list {
 		l := &list[i]
-		out[i] = &peer.Limit{Upstream: l.Upstream, Born: l.Born, Version: l.Version, AgeMs: (now - l.Heard).Milliseconds()}
+		out[i] = &peer.Limit{Upstream: l.Upstream, Born: l.StartedAt, Version: l.Version, AgeMs: (now - l.Heard).Milliseconds()}
 		if out[i].Ended = !l.InForce(); !out[i].Ended {
 			out[i].PerSecond = l.PerSecond
 		}
@@ -55,7 +55,7 @@
 			}
 			continue
 		}
-		ch, changed := s.Balancer.MergeLimit(now, balancer.UpstreamLimit{Upstream: p.Upstream, Born: p.Born, Limit: l})
+		ch, changed := s.Balancer.MergeLimit(now, balancer.UpstreamLimit{Upstream: p.Upstream, StartedAt: p.Born, Limit: l})
 		if changed {
 			s.Log.Info().Str("peer", host).EmbedObject(&ch).Msg("sharer: " + ch.String())
 		}
