--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -204,10 +204,10 @@
 	b.subset.stale = true
 }
 
-// List applies changes of the list of upstreams. It returns the entries that differ from the
+// UpdateUpstreams applies changes of the list of upstreams. It returns the entries that differ from the
 // known ones, since upstreams repeat their entry with each heartbeat, and the ids among gone
 // that were known.
-func (b *Balancer) List(listed []Upstream, gone []string) (changed []Upstream, dropped []string) {
+func (b *Balancer) UpdateUpstreams(listed []Upstream, gone []string) (changed []Upstream, dropped []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.upstreams == nil {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -37,7 +37,7 @@
 			balancer.Upstream{ID: dc + "desk", Service: "desk", Address: dc + ":3", DataCentre: dc, Slots: 6},
 		)
 	}
-	b.List(list, nil)
+	b.UpdateUpstreams(list, nil)
 	return b
 }
 
@@ -148,9 +148,9 @@
 func TestRestarted(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	b.List([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", StartedAt: 7}}, nil)
+	b.UpdateUpstreams([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", StartedAt: 7}}, nil)
 	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ")
-	b.List([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Layers: balancer.Span{To: 40}, StartedAt: 3}}, nil)
+	b.UpdateUpstreams([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Layers: balancer.Span{To: 40}, StartedAt: 3}}, nil)
 	is.Equal(b.ByAddress("a:1"), "a1-new") // ignores a late heartbeat of the old incarnation
 }
 
@@ -158,7 +158,7 @@
 func TestSlowLink(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	b.List([]balancer.Upstream{
+	b.UpdateUpstreams([]balancer.Upstream{
 		{ID: "c1", Service: "model", Address: "c:1", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 40, To: 50}},
 		{ID: "c2", Service: "model", Address: "c:2", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 50, To: 60}},
 		{ID: "c3", Service: "model", Address: "c:3", DataCentre: "c", Card: "slow", Layers: balancer.Span{From: 60, To: 70}},
@@ -232,7 +232,7 @@
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "bdesk ") // adesk fails its requests
 	n.Avoid = []string{"bdesk"}
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "adesk ")
-	b.List([]balancer.Upstream{{ID: "adesk", Service: "desk", Address: "a:3", DataCentre: "a", Leaving: true}}, []string{"bdesk"})
+	b.UpdateUpstreams([]balancer.Upstream{{ID: "adesk", Service: "desk", Address: "a:3", DataCentre: "a", Leaving: true}}, []string{"bdesk"})
 	_, reason := b.Acquire(0, balancer.Requirements{Service: "desk"})
 	is.Equal(reason, balancer.ReasonNoUpstream)
 }
@@ -249,7 +249,7 @@
 					Card: "slow", Layers: balancer.Span{From: from, To: from + 5},
 				})
 			}
-			bal.List(list, nil)
+			bal.UpdateUpstreams(list, nil)
 			for b.Loop() {
 				if l, _ := bal.Acquire(0, modelNeed); l != nil {
 					bal.Release(l)
@@ -282,7 +282,7 @@
 func TestSpareInSameDataCentre(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	b.List([]balancer.Upstream{{ID: "a3", Service: "model", Address: "a:4", DataCentre: "a", Card: "large", Layers: balancer.Span{From: 40, To: 80}}}, nil)
+	b.UpdateUpstreams([]balancer.Upstream{{ID: "a3", Service: "model", Address: "a:4", DataCentre: "a", Card: "large", Layers: balancer.Span{From: 40, To: 80}}}, nil)
 	l := acquire(t, b, 0, modelNeed)
 	for range 40 {
 		acquire(t, b, 0, modelNeed)
@@ -323,6 +323,6 @@
 	is.True(b.Lost("a1"))
 	is.True(b.SetDead(0, "a1", false))
 	is.True(!b.Lost("a1"))
-	b.List(nil, []string{"a1"})
+	b.UpdateUpstreams(nil, []string{"a1"})
 	is.True(b.Lost("a1"))
 }
--- a/balancer/dead_test.go
+++ b/balancer/dead_test.go
@@ -19,7 +19,7 @@
 	for i := range cut {
 		list = append(list, balancer.Upstream{ID: fmt.Sprint("c", i), Service: "model", Address: fmt.Sprint("c", i), DataCentre: "c"})
 	}
-	b.List(list, nil)
+	b.UpdateUpstreams(list, nil)
 	for i := range cut {
 		is.True(b.SetDead(0, fmt.Sprint("c", i), true))
 	}
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -107,7 +107,7 @@
 			list[i].StartedAt = 5
 		}
 	}
-	b.List(list, nil)
+	b.UpdateUpstreams(list, nil)
 	is.Equal(b.LimitCount(), 0)
 	is.Equal(countByFirstHop(b, limitNamedAt, 1, balancer.Requirements{Service: "desk"})["adesk"], 20)
 	_, changed := b.ObserveLimit(limitNamedAt, limitNamedAt, "adesk", 0, 3) // an answer of the previous incarnation
@@ -115,7 +115,7 @@
 	received := balancer.UpstreamLimit{Upstream: "adesk", Limit: limiter.Limit{Version: 1, PerSecond: 3}}
 	_, changed = b.MergeLimit(limitNamedAt, received)
 	is.True(!changed)
-	b.List(nil, []string{"adesk"})
+	b.UpdateUpstreams(nil, []string{"adesk"})
 	is.Equal(len(b.Limits(limitNamedAt, 10)), 0)
 }
 
@@ -169,7 +169,7 @@
 	for i := range 500 {
 		list = append(list, balancer.Upstream{ID: string(rune('A' + i)), Service: "desk", Address: string(rune('A' + i)), DataCentre: "a"})
 	}
-	b.List(list, nil)
+	b.UpdateUpstreams(list, nil)
 	for _, u := range list {
 		b.ObserveLimit(limitNamedAt, limitNamedAt, u.ID, 0, 2)
 	}
--- a/balancer/path_bench_test.go
+++ b/balancer/path_bench_test.go
@@ -26,7 +26,7 @@
 				list = append(list, balancer.Upstream{ID: id, Service: "model", Address: id, DataCentre: fmt.Sprint("dc", i/ranges%3), Card: "slow", Layers: balancer.Span{From: 8 * at, To: 8 * (at + 1)}})
 				usage = append(usage, balancer.Usage{Upstream: id, Requests: min(1, 119/int64(size.hosts)), TokenLayers: 24000 / int64(size.hosts)})
 			}
-			bal.List(list, nil)
+			bal.UpdateUpstreams(list, nil)
 			bal.SetHosts(hostDataCentres(size.hosts))
 			for h := range size.hosts - 1 {
 				if err := bal.SetReport(time.Second, fmt.Sprint("h", h), balancer.Report{Hosts: map[string]int{"dc0": 1}, Usage: usage}); err != nil {
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -68,7 +68,7 @@
 			}
 		}
 		b.SetHosts(map[string]string{"other": map[string]string{"a": "b", "b": "a"}[dc]})
-		b.List(list, nil)
+		b.UpdateUpstreams(list, nil)
 		s.hosts = append(s.hosts, b)
 	}
 	return s
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -35,7 +35,7 @@
 		b := &balancer.Balancer{Host: fmt.Sprint("host", 3*i), DataCentre: "dc0", Policy: picker.Cheapest{Steepness: 2, Jitter: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: engine()}})
 		b.SetHosts(hostDataCentres(hosts))
-		b.List(largeFleet(upstreams), nil)
+		b.UpdateUpstreams(largeFleet(upstreams), nil)
 		out[i] = b
 	}
 	return out
@@ -101,9 +101,9 @@
 			changed = append(changed, u)
 		}
 	}
-	b.List(changed, nil)
+	b.UpdateUpstreams(changed, nil)
 	is.True(slices.Contains(b.Used(time.Second), hops[3].ID))
 	b.Release(l)
-	b.List([]balancer.Upstream{{ID: "more", Service: "model", Address: "more", DataCentre: "dc0"}}, nil)
+	b.UpdateUpstreams([]balancer.Upstream{{ID: "more", Service: "model", Address: "more", DataCentre: "dc0"}}, nil)
 	is.True(!slices.Contains(b.Used(2*time.Second), hops[3].ID))
 }
--- a/balancer/turned_test.go
+++ b/balancer/turned_test.go
@@ -31,7 +31,7 @@
 	for i := range out {
 		b := &balancer.Balancer{DataCentre: "a", Policy: picker.Cheapest{Steepness: 2, Jitter: 0.1}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: e}})
-		b.List(list, nil)
+		b.UpdateUpstreams(list, nil)
 		out[i] = b
 	}
 	return out
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -553,7 +553,7 @@
 	for _, d := range u.Duties {
 		f.holders[d.DataCentre] = d.Holder
 	}
-	u.Listed, u.Removed = f.Balancer.List(u.Listed, u.Removed)
+	u.Listed, u.Removed = f.Balancer.UpdateUpstreams(u.Listed, u.Removed)
 	u.Listed = withReturned(u.Listed, returned)
 	f.position = u.Position
 	f.history.add(u)
--- a/follower/peers.go
+++ b/follower/peers.go
@@ -135,5 +135,5 @@
 			removed = append(removed, id)
 		}
 	}
-	f.Balancer.List(list, removed)
+	f.Balancer.UpdateUpstreams(list, removed)
 }
--- a/forwarder/moves_test.go
+++ b/forwarder/moves_test.go
@@ -61,7 +61,7 @@
 		for i := range ranges {
 			for _, holder := range []string{"x", "y", "z"} {
 				id := fmt.Sprint(holder, i)
-				b.List([]balancer.Upstream{{ID: id, Address: id, Service: "model", DataCentre: "a", Layers: balancer.Span{From: 4 * i, To: 4 * (i + 1)}}}, nil)
+				b.UpdateUpstreams([]balancer.Upstream{{ID: id, Address: id, Service: "model", DataCentre: "a", Layers: balancer.Span{From: 4 * i, To: 4 * (i + 1)}}}, nil)
 			}
 		}
 		engines := &repathEngines{duration: 20 * time.Millisecond}
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -47,7 +47,7 @@
 	u := e.upstreams[address]
 	u.Layers = s
 	e.upstreams[address] = u
-	time.AfterFunc(e.drainTime, func() { e.b.List([]balancer.Upstream{u}, nil) })
+	time.AfterFunc(e.drainTime, func() { e.b.UpdateUpstreams([]balancer.Upstream{u}, nil) })
 	return nil
 }
 
@@ -72,7 +72,7 @@
 		for n := range 12 {
 			u := balancer.Upstream{ID: fmt.Sprint("e", n), Service: "model", Address: fmt.Sprint("10.0.0.", n), DataCentre: "a", Card: "x", StartedAt: 1}
 			e.upstreams[u.Address] = u
-			b.List([]balancer.Upstream{u}, nil)
+			b.UpdateUpstreams([]balancer.Upstream{u}, nil)
 		}
 		var holds atomic.Bool
 		holds.Store(true)
@@ -162,9 +162,9 @@
 		u.Leaving = true
 		e.upstreams[fresh.Address] = fresh
 		e.mu.Unlock()
-		e.b.List([]balancer.Upstream{u, fresh}, nil)
+		e.b.UpdateUpstreams([]balancer.Upstream{u, fresh}, nil)
 		time.Sleep(1500 * time.Millisecond)
-		e.b.List(nil, []string{u.ID})
+		e.b.UpdateUpstreams(nil, []string{u.ID})
 		e.assertCovered(t)
 	})
 }
@@ -187,11 +187,11 @@
 			gone = append(gone, e.upstreams[address].ID)
 		}
 		e.mu.Unlock()
-		e.b.List(nil, gone)
+		e.b.UpdateUpstreams(nil, gone)
 		time.Sleep(time.Second)
 		holds.Store(true)
 		time.Sleep(1500 * time.Millisecond)
-		e.b.List(returning, nil)
+		e.b.UpdateUpstreams(returning, nil)
 		time.Sleep(10 * time.Second)
 		is.Equal(e.orderCount(), before)
 		e.assertCovered(t)
@@ -208,7 +208,7 @@
 		e.mu.Lock()
 		e.drainTime = 10 * time.Second
 		e.mu.Unlock()
-		e.b.List(nil, []string{"e3"})
+		e.b.UpdateUpstreams(nil, []string{"e3"})
 		time.Sleep(18 * time.Second)
 		is.True(e.orderCount() <= before+1)
 		e.assertCovered(t)
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -103,7 +103,7 @@
 	b.Configure(map[string]*matcher.Service{"model": {Name: "model", Engine: e}})
 	for i := range ranges {
 		id := fmt.Sprint("engine-", i)
-		b.List([]balancer.Upstream{{ID: id, Address: id, Service: "model", Layers: balancer.Span{From: 4 * i, To: 4 * (i + 1)}}}, nil)
+		b.UpdateUpstreams([]balancer.Upstream{{ID: id, Address: id, Service: "model", Layers: balancer.Span{From: 4 * i, To: 4 * (i + 1)}}}, nil)
 	}
 	return b
 }
