--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -286,8 +286,8 @@
 	}
 }
 
-// Listed returns the known upstreams, in no particular order.
-func (b *Balancer) Listed() []Upstream {
+// Upstreams returns the known upstreams, in no particular order.
+func (b *Balancer) Upstreams() []Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]Upstream, 0, len(b.upstreams))
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -101,7 +101,7 @@
 func TestLimitOfIncarnation(t *testing.T) {
 	is := is.New(t)
 	b := newLimitedBalancer(t, nil, 0, "adesk")
-	list := b.Listed()
+	list := b.Upstreams()
 	for i := range list {
 		if list[i].ID == "adesk" {
 			list[i].StartedAt = 5
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -187,7 +187,7 @@
 func TestOlderList(t *testing.T) {
 	run(t, func(src *faker.Directory, fol *follower.Follower, b *balancer.Balancer) {
 		is := is.New(t)
-		leaving := func() bool { return b.Listed()[0].Leaving }
+		leaving := func() bool { return b.Upstreams()[0].Leaving }
 		before := fol.Position()
 		src.List(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
 		time.Sleep(time.Second)
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -58,7 +58,7 @@
 			time.Sleep(time.Second)
 			restoreFromCopy(src, c)
 			time.Sleep(time.Second)
-			is.True(b.Listed()[0].Leaving)
+			is.True(b.Upstreams()[0].Leaving)
 		})
 	})
 	t.Run("upstream and host written since", func(t *testing.T) {
--- a/follower/update_test.go
+++ b/follower/update_test.go
@@ -13,7 +13,7 @@
 
 // isListed reports whether the balancer lists an upstream.
 func isListed(b *balancer.Balancer, id string) bool {
-	for _, u := range b.Listed() {
+	for _, u := range b.Upstreams() {
 		if u.ID == id {
 			return true
 		}
@@ -78,10 +78,10 @@
 			fol.ApplyPeerState(0, &follower.State{Version: 3, Position: plus(at, 2), Update: update})
 			src.List(ready) // the change before the one in the update
 			time.Sleep(20 * time.Millisecond)
-			is.True(b.Listed()[0].Leaving)
+			is.True(b.Upstreams()[0].Leaving)
 			src.List(leaving)
 			time.Sleep(time.Second)
-			is.True(b.Listed()[0].Leaving)
+			is.True(b.Upstreams()[0].Leaving)
 			src.List(ready)
 		}
 	})
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -99,7 +99,7 @@
 func (e *fakeEngines) assertCovered(t *testing.T) {
 	t.Helper()
 	held := make([]bool, 40)
-	for _, u := range e.b.Listed() {
+	for _, u := range e.b.Upstreams() {
 		for l := u.Layers.From; l < u.Layers.To; l++ {
 			held[l] = true
 		}
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -204,7 +204,7 @@
 func allKnow(members []*member, id string, leaving bool) bool {
 	for _, m := range members {
 		found := false
-		for _, u := range m.balancer.Listed() {
+		for _, u := range m.balancer.Upstreams() {
 			found = found || (u.ID == id && u.Leaving == leaving)
 		}
 		if !found {
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -337,7 +337,7 @@
 	// it would be sent from each host to all others and saturate their links.
 	resp.Configuration = s.newerConfiguration(req.Version)
 	if state.Update == nil && state.ReadAge < staleAge {
-		if resp.Upstreams, err = json.Marshal(s.Balancer.Listed()); err != nil {
+		if resp.Upstreams, err = json.Marshal(s.Balancer.Upstreams()); err != nil {
 			return nil, err
 		}
 	}
