--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -169,7 +169,7 @@
 	l := acquire(t, b, 0, modelNeed)
 	is.Equal(ids(b.Path(l)), "a1 b2 ")
 	for n := range 6 {
-		b.First(l, time.Duration(n)*ms, 2*time.Second)
+		b.RecordFirstEventDelay(l, time.Duration(n)*ms, 2*time.Second)
 	}
 	b.Release(l)
 	is.True(!strings.Contains(ids(b.Path(acquire(t, b, 7*ms, modelNeed))), "a1 b2"))
@@ -186,7 +186,7 @@
 	first := func(now, took time.Duration) string {
 		l := acquire(t, b, now, n)
 		defer b.Release(l)
-		b.First(l, now+took, took)
+		b.RecordFirstEventDelay(l, now+took, took)
 		return ids(b.Path(l))
 	}
 	for i := range 100 {
@@ -202,7 +202,7 @@
 		} else {
 			took = 1500 * ms
 		}
-		b.First(l, now+took, took)
+		b.RecordFirstEventDelay(l, now+took, took)
 		b.Release(l)
 	}
 	is.True(elsewhere >= 70)
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -71,7 +71,7 @@
 		k.firstEventLatency = now - k.arrivedAt
 		k.Meter.FirstToken.Observe(k.firstEventLatency.Seconds())
 		if !repathed {
-			k.Balancer.First(a.lease, now, now-a.sentAt)
+			k.Balancer.RecordFirstEventDelay(a.lease, now, now-a.sentAt)
 		}
 		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target {
 			k.sampleLatency(now, true)
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -173,7 +173,7 @@
 	ctx = context.WithoutCancel(ctx)
 	if f.Balancer.Crosses(a.lease) {
 		now := f.Now()
-		f.Balancer.First(a.lease, now, now-time.Duration(a.lastEvent.Load()))
+		f.Balancer.RecordFirstEventDelay(a.lease, now, now-time.Duration(a.lastEvent.Load()))
 		f.reroute(ctx, a, h)
 		return
 	}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -254,7 +254,7 @@
 	return time.AfterFunc(target, func() {
 		if now := k.Now(); !a.begun.Load() && a.repaths.Load() == 0 {
 			k.sampleLatency(now, true)
-			k.Balancer.First(a.lease, now, now-a.sentAt)
+			k.Balancer.RecordFirstEventDelay(a.lease, now, now-a.sentAt)
 		}
 	})
 }
@@ -262,7 +262,7 @@
 // recordNoFirstEvent records an attempt that ended late and without an event.
 func (k *call) recordNoFirstEvent(a *attempt) {
 	if now := k.Now(); a.repaths.Load() == 0 && now-a.sentAt > k.route.Target {
-		k.Balancer.First(a.lease, now, now-a.sentAt)
+		k.Balancer.RecordFirstEventDelay(a.lease, now, now-a.sentAt)
 	}
 }
 
