--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -99,7 +99,7 @@
 	var leases []*balancer.Lease
 	for range 20 {
 		l := acquire(t, b, 0, modelNeed)
-		b.Begun(0, l)
+		b.RecordStart(0, l)
 		leases = append(leases, l)
 	}
 	is.True(b.SetDead(0, "a2", true))
@@ -130,11 +130,11 @@
 	is := is.New(t)
 	b := newBalancer()
 	one := acquire(t, b, 0, modelNeed)
-	b.Begun(0, one)
+	b.RecordStart(0, one)
 	is.Equal(len(b.Silent(100*ms)), 0)
 	is.Equal(len(b.Silent(300*ms)), 2)
 	for range 24 {
-		b.Begun(300*ms, acquire(t, b, 300*ms, modelNeed))
+		b.RecordStart(300*ms, acquire(t, b, 300*ms, modelNeed))
 	}
 	is.Equal(len(b.Silent(320*ms)), 0)
 	is.True(len(b.Silent(370*ms)) >= 2)
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Begun records the first event of a stream. Later events go to Progress.
-func (b *Balancer) Begun(now time.Duration, l *Lease) {
+// RecordStart records the first event of a stream. Later events go to Progress.
+func (b *Balancer) RecordStart(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.started {
--- a/balancer/turned_test.go
+++ b/balancer/turned_test.go
@@ -70,7 +70,7 @@
 			is.Equal(reason, balancer.ReasonNone)
 			at := slices.IndexFunc(b.Path(l), func(h balancer.Hop) bool { return slices.Contains(gone, h.ID) })
 			if at < 0 {
-				b.Begun(now, l)
+				b.RecordStart(now, l)
 				b.Release(l)
 				break
 			}
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -79,7 +79,7 @@
 		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target/slowDivisor {
 			k.Balancer.Slow(now, a.lease)
 		}
-		k.Balancer.Begun(now, a.lease)
+		k.Balancer.RecordStart(now, a.lease)
 		a.begun.Store(true)
 		delivered.begun, delivered.lastEvent = true, now
 		return
