--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -138,7 +138,7 @@
 	}
 	is.Equal(len(b.Silent(320*ms)), 0)
 	is.True(len(b.Silent(370*ms)) >= 2)
-	b.Progress(370*ms, one)
+	b.RecordProgress(370*ms, one)
 	for _, h := range b.Silent(371 * ms) {
 		is.True(h.ID != "a1" && h.ID != "a2") // these had an event just now
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Progress records a further event of a stream.
-func (b *Balancer) Progress(now time.Duration, l *Lease) {
+// RecordProgress records a further event of a stream.
+func (b *Balancer) RecordProgress(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range l.hops {
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -84,7 +84,7 @@
 		delivered.begun, delivered.lastEvent = true, now
 		return
 	}
-	k.Balancer.Progress(now, a.lease)
+	k.Balancer.RecordProgress(now, a.lease)
 	pause := now - delivered.lastEvent
 	delivered.longestGap, delivered.lastEvent = max(delivered.longestGap, pause), now
 	if !repathed && k.route.Gap > 0 && pause > k.route.Gap {
