--- a/balancer/pace.go
+++ b/balancer/pace.go
@@ -15,9 +15,9 @@
 	slowWindow    = time.Second
 )
 
-// Slow records an event of a stream that came late although its path had not changed. One of
+// RecordSlowEvent records an event of a stream that came late although its path had not changed. One of
 // its upstreams may be slower than declared.
-func (b *Balancer) Slow(now time.Duration, l *Lease) {
+func (b *Balancer) RecordSlowEvent(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range l.hops {
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -77,7 +77,7 @@
 			k.sampleLatency(now, true)
 		}
 		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target/slowDivisor {
-			k.Balancer.Slow(now, a.lease)
+			k.Balancer.RecordSlowEvent(now, a.lease)
 		}
 		k.Balancer.RecordStart(now, a.lease)
 		a.begun.Store(true)
@@ -91,7 +91,7 @@
 		k.sampleLatency(now, true)
 	}
 	if !repathed && k.route.Gap > 0 && pause > k.route.Gap/slowDivisor {
-		k.Balancer.Slow(now, a.lease)
+		k.Balancer.RecordSlowEvent(now, a.lease)
 	}
 }
 
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -83,7 +83,7 @@
 			time.Sleep(event)
 			for i, b := range all {
 				if late(time.Since(started)) {
-					b.Slow(now(), leases[i])
+					b.RecordSlowEvent(now(), leases[i])
 				}
 				if n%4 == 0 {
 					sendReports(now(), i, all)
