--- a/balancer/health.go
+++ b/balancer/health.go
@@ -217,8 +217,8 @@
 	suspectDuration = 4 * time.Second
 )
 
-// Served records an answer of an upstream and the load that it reported; load may be nil.
-func (b *Balancer) Served(now time.Duration, id string, load *Load) {
+// RecordSuccess records an answer of an upstream and the load that it reported; load may be nil.
+func (b *Balancer) RecordSuccess(now time.Duration, id string, load *Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -132,11 +132,11 @@
 		return nil, verdictMayHaveRun
 	}
 	if a.StatusCode >= http.StatusInternalServerError {
-		k.Balancer.Served(k.Now(), id, parseLoad(a.Header.Get(k.Headers.Load)))
+		k.Balancer.RecordSuccess(k.Now(), id, parseLoad(a.Header.Get(k.Headers.Load)))
 		k.logAttempt(l, "upstream failed with status "+strconv.Itoa(a.StatusCode), nil)
 		return a, verdictFailed
 	}
-	k.Balancer.Served(k.Now(), id, parseLoad(a.Header.Get(k.Headers.Load)))
+	k.Balancer.RecordSuccess(k.Now(), id, parseLoad(a.Header.Get(k.Headers.Load)))
 	return a, verdictAnswered
 }
 
@@ -166,7 +166,7 @@
 	} else if faultAddress != "" {
 		k.Balancer.Turned(k.Now(), id)
 	} else if load := parseLoad(resp.Header.Get(k.Headers.Load)); load != nil {
-		k.Balancer.Served(k.Now(), id, load)
+		k.Balancer.RecordSuccess(k.Now(), id, load)
 	}
 	k.logAttempt(l, "turned away with status "+strconv.Itoa(resp.StatusCode)+" by "+id, nil)
 	return verdictNotRun, true
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -98,7 +98,7 @@
 // recordCompletion records a stream that was delivered completely.
 func (k *call) recordCompletion(a *attempt, gap time.Duration) {
 	now := k.Now()
-	k.Balancer.Served(now, a.lease.First.ID, nil)
+	k.Balancer.RecordSuccess(now, a.lease.First.ID, nil)
 	k.recordSuccess()
 	k.sampleLatency(now, false)
 	k.Meter.Gap.Observe(gap.Seconds())
