--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -227,7 +227,7 @@
 	n := balancer.Requirements{Service: "desk"}
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "adesk ")
 	for range 20 {
-		b.Failed("adesk")
+		b.RecordFailure("adesk")
 	}
 	is.Equal(ids(b.Path(acquire(t, b, 0, n))), "bdesk ") // adesk fails its requests
 	n.Avoid = []string{"bdesk"}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// Failed records a request that an upstream failed without being ejected for it.
-func (b *Balancer) Failed(id string) {
+// RecordFailure records a request that an upstream failed without being ejected for it.
+func (b *Balancer) RecordFailure(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if u := b.upstreams[id]; u != nil {
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -82,7 +82,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp, maxAnswerBytes))
 	whole := resp.Done()
 	if err != nil || !whole {
-		k.Balancer.Failed(id)
+		k.Balancer.RecordFailure(id)
 		k.logAttempt(l, "response ended early", err)
 		return nil, verdictMayHaveRun
 	}
@@ -105,7 +105,7 @@
 				k.Log.Warn().Str("requestId", k.id).Str("upstream", l.First.ID).Str("address", l.First.Address).Err(err).Msg("forwarder: upstream out")
 			}
 		} else {
-			k.Balancer.Failed(l.First.ID)
+			k.Balancer.RecordFailure(l.First.ID)
 		}
 		k.logAttempt(l, "no answer", err)
 		if e.Sent {
@@ -127,7 +127,7 @@
 	success := a.StatusCode/100 == 2
 	if success && (a.Header.Get(k.Headers.Stamp) == "" || a.Header.Get("Content-Encoding") != "") {
 		// A response without the signature does not come from the upstream.
-		k.Balancer.Failed(id)
+		k.Balancer.RecordFailure(id)
 		k.logAttempt(l, "response has no signature", nil)
 		return nil, verdictMayHaveRun
 	}
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -112,7 +112,7 @@
 func (k *call) checkOrder(l *balancer.Lease, ids []eventID) bool {
 	for _, id := range ids {
 		if !id.follows(k.lastEventID) {
-			k.Balancer.Failed(l.First.ID)
+			k.Balancer.RecordFailure(l.First.ID)
 			k.logAttempt(l, "event "+id.text+" does not follow event "+k.lastEventID.text, nil)
 			return false
 		}
@@ -151,7 +151,7 @@
 		err = cause
 	}
 	if !errors.Is(err, errUpstreamSilent) && ctx.Err() == nil {
-		k.Balancer.Failed(l.First.ID)
+		k.Balancer.RecordFailure(l.First.ID)
 	}
 	k.logAttempt(l, "stream broke off after event "+k.lastEventID.text, err)
 }
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -222,7 +222,7 @@
 		return k.handleNonStream(a, resp)
 	}
 	if resp.Header.Get(k.Headers.Stamp) == "" || resp.Header.Get("Content-Encoding") != "" {
-		k.Balancer.Failed(l.First.ID)
+		k.Balancer.RecordFailure(l.First.ID)
 		k.logAttempt(l, "stream without signature", nil)
 		return verdictMayHaveRun
 	}
@@ -273,7 +273,7 @@
 	if v, ok := k.handleRejection(l, resp.Response, a.sentAt); ok {
 		return v
 	}
-	k.Balancer.Failed(l.First.ID)
+	k.Balancer.RecordFailure(l.First.ID)
 	k.logAttempt(l, "stream failed with status "+strconv.Itoa(resp.StatusCode), err)
 	if err != nil || !resp.Whole() {
 		return verdictMayHaveRun
