--- a/balancer/health.go
+++ b/balancer/health.go
@@ -241,9 +241,9 @@
 	}
 }
 
-// Out ejects an unreachable upstream for a while, twice as long with each failure in a row. It
+// Eject ejects an unreachable upstream for a while, twice as long with each failure in a row. It
 // reports whether the upstream was in use.
-func (b *Balancer) Out(now time.Duration, id string) bool {
+func (b *Balancer) Eject(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -162,7 +162,7 @@
 	}
 	k.avoid = append(k.avoid, id)
 	if misdirected || (faultAddress != "" && k.Now()-sent > minHopFailureDelay) {
-		k.Balancer.Out(k.Now(), id)
+		k.Balancer.Eject(k.Now(), id)
 	} else if faultAddress != "" {
 		k.Balancer.Turned(k.Now(), id)
 	} else if load := parseLoad(resp.Header.Get(k.Headers.Load)); load != nil {
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -177,7 +177,7 @@
 		f.reroute(ctx, a, h)
 		return
 	}
-	if !f.Balancer.Out(f.Now(), id) {
+	if !f.Balancer.Eject(f.Now(), id) {
 		return
 	}
 	moved := f.streamsThrough(id)
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -198,7 +198,7 @@
 			h.balancer.SetHosts(map[string]string{"a": "x", "b": "x", "c": "x"})
 		}
 		is.True(hosts["b"].balancer.SetDead(0, "one", true))
-		is.True(hosts["b"].balancer.Out(10*time.Second, "one"))
+		is.True(hosts["b"].balancer.Eject(10*time.Second, "one"))
 		is.True(hosts["b"].balancer.SetPace(3*time.Second, "one", 4))
 		time.Sleep(time.Second)
 		want := []balancer.Usage{{Upstream: "one", DeadHosts: 1, SuspectingHosts: 1, Pace: 4, PaceHosts: 1}}
