--- a/balancer/health.go
+++ b/balancer/health.go
@@ -270,10 +270,10 @@
 // that yet.
 const unexplainedRejectionBelow = 0.5
 
-// Turned records that an upstream rejected a request. One that should have had capacity is
+// RecordRejection records that an upstream rejected a request. One that should have had capacity is
 // ejected for a while. Otherwise other hosts fill it, or answers are longer than expected, and
 // the difference counts as hidden usage.
-func (b *Balancer) Turned(now time.Duration, id string) {
+func (b *Balancer) RecordRejection(now time.Duration, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/balancer/turned_test.go
+++ b/balancer/turned_test.go
@@ -77,7 +77,7 @@
 			rejections++
 			id := b.Path(l)[at].ID
 			b.Release(l)
-			b.Turned(now, id)
+			b.RecordRejection(now, id)
 			n.Avoid = append(n.Avoid, id)
 			if try == tries-1 {
 				refused++
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -164,7 +164,7 @@
 	if misdirected || (faultAddress != "" && k.Now()-sent > minHopFailureDelay) {
 		k.Balancer.Eject(k.Now(), id)
 	} else if faultAddress != "" {
-		k.Balancer.Turned(k.Now(), id)
+		k.Balancer.RecordRejection(k.Now(), id)
 	} else if load := parseLoad(resp.Header.Get(k.Headers.Load)); load != nil {
 		k.Balancer.RecordSuccess(k.Now(), id, load)
 	}
