--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -319,7 +319,7 @@
 	b := newBalancer()
 	is.True(b.SetDead(0, "a1", true))
 	is.True(!b.Lost("a1"))
-	b.Ended("a1")
+	b.MarkStopped("a1")
 	is.True(b.Lost("a1"))
 	is.True(b.SetDead(0, "a1", false))
 	is.True(!b.Lost("a1"))
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -73,9 +73,9 @@
 	return out
 }
 
-// Ended records that an upstream refuses connections, so that its process has ended. One that
+// MarkStopped records that an upstream refuses connections, so that its process has ended. One that
 // merely doesn't answer may still be at work.
-func (b *Balancer) Ended(id string) {
+func (b *Balancer) MarkStopped(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if u := b.upstreams[id]; u != nil {
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -49,7 +49,7 @@
 	if k.Balancer.SetDead(k.Now(), h.ID, true) {
 		k.Log.Warn().Str("requestId", k.id).Str("upstream", h.ID).Str("address", h.Address).Err(err).Msg("forwarder: upstream crashed")
 	}
-	k.Balancer.Ended(h.ID)
+	k.Balancer.MarkStopped(h.ID)
 	k.addStrike(k.id, k.fingerprint, h)
 }
 
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -271,7 +271,7 @@
 func (f *Forwarder) recordProbe(ctx context.Context, h balancer.Hop, dialErr error) {
 	changed := f.Balancer.SetDead(f.Now(), h.ID, dialErr != nil)
 	if dialErr != nil && !isTimeout(dialErr) {
-		f.Balancer.Ended(h.ID)
+		f.Balancer.MarkStopped(h.ID)
 	}
 	if !changed {
 		return
