--- a/balancer/health.go
+++ b/balancer/health.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// Lost reports whether an upstream has certainly stopped work: it is not listed or refuses
+// HasStopped reports whether an upstream has certainly stopped work: it is not listed or refuses
 // connections.
-func (b *Balancer) Lost(id string) bool {
+func (b *Balancer) HasStopped(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -152,7 +152,7 @@
 func (k *call) allowedFirsts(candidates ...string) []string {
 	var out []string
 	for _, id := range slices.Concat(k.ranOn, candidates) {
-		if !slices.Contains(out, id) && !k.Balancer.Lost(id) {
+		if !slices.Contains(out, id) && !k.Balancer.HasStopped(id) {
 			out = append(out, id)
 		}
 	}
