--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -131,15 +131,15 @@
 	b := newBalancer()
 	one := acquire(t, b, 0, modelNeed)
 	b.RecordStart(0, one)
-	is.Equal(len(b.Silent(100*ms)), 0)
-	is.Equal(len(b.Silent(300*ms)), 2)
+	is.Equal(len(b.SilentUpstreams(100*ms)), 0)
+	is.Equal(len(b.SilentUpstreams(300*ms)), 2)
 	for range 24 {
 		b.RecordStart(300*ms, acquire(t, b, 300*ms, modelNeed))
 	}
-	is.Equal(len(b.Silent(320*ms)), 0)
-	is.True(len(b.Silent(370*ms)) >= 2)
+	is.Equal(len(b.SilentUpstreams(320*ms)), 0)
+	is.True(len(b.SilentUpstreams(370*ms)) >= 2)
 	b.RecordProgress(370*ms, one)
-	for _, h := range b.Silent(371 * ms) {
+	for _, h := range b.SilentUpstreams(371 * ms) {
 		is.True(h.ID != "a1" && h.ID != "a2") // these had an event just now
 	}
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -44,9 +44,9 @@
 	minSilenceLimit     = 60 * time.Millisecond
 )
 
-// Silent returns the upstreams whose started streams have all got no event for longer than
+// SilentUpstreams returns the upstreams whose started streams have all got no event for longer than
 // their number explains.
-func (b *Balancer) Silent(now time.Duration) []Hop {
+func (b *Balancer) SilentUpstreams(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Hop
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -78,7 +78,7 @@
 		if late {
 			continue
 		}
-		for _, h := range f.Balancer.Silent(now) {
+		for _, h := range f.Balancer.SilentUpstreams(now) {
 			f.probe(ctx, h, probeInterval)
 		}
 		for _, h := range f.slowStartHops(now) {
