--- a/balancer/health.go
+++ b/balancer/health.go
@@ -59,9 +59,9 @@
 	return out
 }
 
-// Stuck returns the hops of a path over which no event has come since a time. Streams that
+// StalledHops returns the hops of a path over which no event has come since a time. Streams that
 // still wait for their first event reveal a dead upstream that has no other streams.
-func (b *Balancer) Stuck(l *Lease, since time.Duration) []Hop {
+func (b *Balancer) StalledHops(l *Lease, since time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Hop
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -105,7 +105,7 @@
 	var out []balancer.Hop
 	for a := range f.streams {
 		if !a.begun.Load() && now-a.sentAt > slowFirstEvent {
-			out = append(out, f.Balancer.Stuck(a.lease, a.sentAt)...)
+			out = append(out, f.Balancer.StalledHops(a.lease, a.sentAt)...)
 		}
 	}
 	return out
