--- a/balancer/dead_test.go
+++ b/balancer/dead_test.go
@@ -27,7 +27,7 @@
 	seen := make(map[string]int)
 	const turns = (cut + most - 1) / most
 	for turn := range turns {
-		dead := b.Dead(turn, most)
+		dead := b.DeadUpstreams(turn, most)
 		is.Equal(len(dead), most+1)
 		for _, h := range dead {
 			seen[h.ID]++
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -92,10 +92,10 @@
 	return u == nil || u.stopped
 }
 
-// Dead returns upstreams that accept no connection, at most a given number for each data
+// DeadUpstreams returns upstreams that accept no connection, at most a given number for each data
 // centre, in rotation by turn. Most often a whole data centre is unreachable, and the first
 // upstream there that accepts a connection shows that all of it may be reachable again.
-func (b *Balancer) Dead(turn, most int) []Hop {
+func (b *Balancer) DeadUpstreams(turn, most int) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byDataCentre := make(map[string][]Hop)
--- a/forwarder/quarantine_test.go
+++ b/forwarder/quarantine_test.go
@@ -35,6 +35,6 @@
 	k := &call{Forwarder: f, r: new(http.Request), id: "r", fingerprint: 7}
 	k.detectCrash(ctx, balancer.Hop{ID: "one", Address: "10.0.0.1:1"})
 	is.True(!b.HasStopped("one"))
-	is.Equal(len(b.Dead(0, 1)), 0)
+	is.Equal(len(b.DeadUpstreams(0, 1)), 0)
 	is.Equal(len(f.Suspects.Active(time.Now(), 7)), 0)
 }
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		lastDeadProbe = now
-		for _, h := range f.Balancer.Dead(round, deadProbesPerDataCentre) {
+		for _, h := range f.Balancer.DeadUpstreams(round, deadProbesPerDataCentre) {
 			f.probe(ctx, h, probeInterval)
 		}
 		round++
