--- a/balancer/dead_test.go
+++ b/balancer/dead_test.go
@@ -35,6 +35,6 @@
 	}
 	is.Equal(len(seen), cut+1)
 	is.Equal(seen["a1"], turns)
-	is.Equal(len(b.DeadBeside("c0")), cut-1)
-	is.Equal(len(b.DeadBeside("a1")), 0)
+	is.Equal(len(b.DeadInSameDataCentre("c0")), cut-1)
+	is.Equal(len(b.DeadInSameDataCentre("a1")), 0)
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -114,8 +114,8 @@
 	return out
 }
 
-// DeadBeside returns the dead upstreams in the same data centre, without the upstream itself.
-func (b *Balancer) DeadBeside(id string) []Hop {
+// DeadInSameDataCentre returns the dead upstreams in the same data centre, without the upstream itself.
+func (b *Balancer) DeadInSameDataCentre(id string) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -278,7 +278,7 @@
 	}
 	if dialErr == nil {
 		f.Log.Info().Str("upstream", h.ID).Str("address", h.Address).Msg("forwarder: upstream accepts connections again")
-		for _, other := range f.Balancer.DeadBeside(h.ID) {
+		for _, other := range f.Balancer.DeadInSameDataCentre(h.ID) {
 			f.probe(ctx, other, probeInterval)
 		}
 		return
