--- a/balancer/health.go
+++ b/balancer/health.go
@@ -149,8 +149,8 @@
 	return true
 }
 
-// WentDown returns the ids of the upstreams that were found dead within a time around at.
-func (b *Balancer) WentDown(at, within time.Duration) []string {
+// DiedAround returns the ids of the upstreams that were found dead within a time around at.
+func (b *Balancer) DiedAround(at, within time.Duration) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -66,5 +66,5 @@
 // WentDown lists the upstreams that went down within the given time of at. tracker.Suspects calls
 // it.
 func (f *Forwarder) WentDown(at time.Time, within time.Duration) []string {
-	return f.Balancer.WentDown(f.Now()-time.Since(at), within)
+	return f.Balancer.DiedAround(f.Now()-time.Since(at), within)
 }
