--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -215,10 +215,10 @@
 	is := is.New(t)
 	b := newBalancer()
 	is.True(b.SetDead(0, "b1", true))
-	is.Equal(len(b.Suspects(0, "b1")), 0)
+	is.Equal(len(b.CorrelatedSuspects(0, "b1")), 0)
 	is.True(b.SetDead(100*ms, "b2", true))
-	is.Equal(ids(b.Suspects(100*ms, "b2")), "bdesk ")
-	is.Equal(len(b.Suspects(3*time.Second, "b2")), 0)
+	is.Equal(ids(b.CorrelatedSuspects(100*ms, "b2")), "bdesk ")
+	is.Equal(len(b.CorrelatedSuspects(3*time.Second, "b2")), 0)
 }
 
 func TestPlain(t *testing.T) {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -176,10 +176,10 @@
 // points to the network path there.
 const correlatedLossWindow = time.Second
 
-// Suspects returns the upstreams, not known to be dead, in the data centre of one that was
+// CorrelatedSuspects returns the upstreams, not known to be dead, in the data centre of one that was
 // found dead, if another one there was found dead just before. Otherwise streams would have
 // to time out on each upstream of a partitioned data centre in turn.
-func (b *Balancer) Suspects(now time.Duration, id string) []Hop {
+func (b *Balancer) CorrelatedSuspects(now time.Duration, id string) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -283,7 +283,7 @@
 		}
 		return
 	}
-	for _, other := range f.Balancer.Suspects(f.Now(), h.ID) {
+	for _, other := range f.Balancer.CorrelatedSuspects(f.Now(), h.ID) {
 		f.probe(ctx, other, probeInterval)
 	}
 	moved := f.streamsThrough(h.ID)
