--- a/balancer/health.go
+++ b/balancer/health.go
@@ -162,8 +162,8 @@
 	return out
 }
 
-// Born returns when an upstream was started, in Unix milliseconds; 0 when it is not known.
-func (b *Balancer) Born(id string) int64 {
+// StartedAt returns when an upstream was started, in Unix milliseconds; 0 when it is not known.
+func (b *Balancer) StartedAt(id string) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if u := b.upstreams[id]; u != nil {
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -56,7 +56,7 @@
 // addStrike records the crash of an upstream against a request in flight that got no event yet. A
 // stream with events has already run at that upstream without crashing it.
 func (f *Forwarder) addStrike(requestID string, fingerprint uint64, h balancer.Hop) {
-	f.Suspects.Add(tracker.NewStrike(time.Now(), fingerprint, h.ID, f.Balancer.Born(h.ID)))
+	f.Suspects.Add(tracker.NewStrike(time.Now(), fingerprint, h.ID, f.Balancer.StartedAt(h.ID)))
 	f.Log.Info().Str("requestId", requestID).Str("upstream", h.ID).Str("address", h.Address).Msg("forwarder: in flight at a crash")
 }
 
