--- a/balancer/pace.go
+++ b/balancer/pace.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// Ask returns the upstreams to query for their pace: those over which events came late just now
+// PaceQueries returns the upstreams to query for their pace: those over which events came late just now
 // and that no other host has reported on, and those known to be slow. Queries count against rate
 // limits; without late events there are none.
-func (b *Balancer) Ask(now time.Duration) []Hop {
+func (b *Balancer) PaceQueries(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Hop
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -49,7 +49,7 @@
 			return
 		case <-tick.C:
 		}
-		for _, h := range p.Balancer.Ask(p.Now()) {
+		for _, h := range p.Balancer.PaceQueries(p.Now()) {
 			go p.queryPace(ctx, h)
 		}
 	}
