--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -196,9 +196,9 @@
 	return b.throttledCount
 }
 
-// MayAsk reports whether an upstream may be sent a probe, and counts it against the limit. A
+// AllowProbe reports whether an upstream may be sent a probe, and counts it against the limit. A
 // limit ends with the list entry, so that an upstream without one may always be probed.
-func (b *Balancer) MayAsk(now time.Duration, id string) bool {
+func (b *Balancer) AllowProbe(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.upstreams[id]
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -88,12 +88,12 @@
 		b := newLimitedBalancer(t, nil, 1, "a1")
 		asked := 0
 		for i := range 200 {
-			if b.MayAsk(limitNamedAt+time.Duration(i)*50*ms, "a1") {
+			if b.AllowProbe(limitNamedAt+time.Duration(i)*50*ms, "a1") {
 				asked++
 			}
 		}
 		is.True(asked >= 8 && asked <= 14)
-		is.True(b.MayAsk(limitNamedAt, "a2"))
+		is.True(b.AllowProbe(limitNamedAt, "a2"))
 	})
 }
 
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -140,7 +140,7 @@
 	if !f.beginProbe("stalled " + h.ID) {
 		return
 	}
-	if !f.Balancer.MayAsk(f.Now(), h.ID) {
+	if !f.Balancer.AllowProbe(f.Now(), h.ID) {
 		go f.endProbe("stalled "+h.ID, stallQueryInterval)
 		return
 	}
