--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -305,7 +305,7 @@
 			t.Logf("%d requests fit, %d cross", n, crossed)
 			break
 		}
-		if b.Crosses(l) {
+		if b.CrossesDataCentres(l) {
 			crossed++
 		} else {
 			is.Equal(crossed, 0) // paths inside one data centre are used up first
--- a/balancer/full_test.go
+++ b/balancer/full_test.go
@@ -35,7 +35,7 @@
 				is.Equal(reason, balancer.ReasonNoRoom)
 				continue
 			}
-			is.True(b.Crosses(l))
+			is.True(b.CrossesDataCentres(l))
 			b.Release(l)
 			over++
 		}
--- a/balancer/links.go
+++ b/balancer/links.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Crosses reports whether the path goes over a link between data centres.
-func (b *Balancer) Crosses(l *Lease) bool {
+// CrossesDataCentres reports whether the path goes over a link between data centres.
+func (b *Balancer) CrossesDataCentres(l *Lease) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crossingCount(l.hops) > 0
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -85,7 +85,7 @@
 		bound.Leave()
 		return
 	}
-	r := &stream{host: host, lease: l, ends: now + streamLife, crosses: b.Crosses(l)}
+	r := &stream{host: host, lease: l, ends: now + streamLife, crosses: b.CrossesDataCentres(l)}
 	if r.crosses {
 		s.pipeBusyUntil = max(now, s.pipeBusyUntil) + promptTransferTime
 		r.ends = min(s.pipeBusyUntil, now+firstEventTimeout) + streamLife
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -171,7 +171,7 @@
 	}
 	h := balancer.Hop{ID: id, Address: s.Address}
 	ctx = context.WithoutCancel(ctx)
-	if f.Balancer.Crosses(a.lease) {
+	if f.Balancer.CrossesDataCentres(a.lease) {
 		now := f.Now()
 		f.Balancer.RecordFirstEventDelay(a.lease, now, now-time.Duration(a.lastEvent.Load()))
 		f.reroute(ctx, a, h)
