--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -265,15 +265,15 @@
 	is := is.New(t)
 	b := newBalancer()
 	few := acquire(t, b, 0, modelNeed)
-	is.True(!b.Elsewhere(0, few, "a2")) // a single stream crosses fast enough
+	is.True(!b.ShouldRestartElsewhere(0, few, "a2")) // a single stream crosses fast enough
 	for range 20 {
 		acquire(t, b, 0, modelNeed)
 	}
 	is.True(b.SetDead(0, "a2", true))
-	is.True(b.Elsewhere(0, few, "a2"))
+	is.True(b.ShouldRestartElsewhere(0, few, "a2"))
 	is.Equal(ids(b.Path(few)), "a1 a2 ") // unchanged
 	is.True(b.SetDead(0, "b1", true))
-	is.True(!b.Elsewhere(0, few, "a2")) // no path inside one data centre is left, so it crosses
+	is.True(!b.ShouldRestartElsewhere(0, few, "a2")) // no path inside one data centre is left, so it crosses
 	is.Equal(ids(b.Repath(0, few, "a2")), "a1 b2 ")
 }
 
@@ -289,7 +289,7 @@
 	}
 	lost := strings.Fields(ids(b.Path(l)))[1]
 	is.True(b.SetDead(0, lost, true))
-	is.True(!b.Elsewhere(0, l, lost))
+	is.True(!b.ShouldRestartElsewhere(0, l, lost))
 	is.Equal(len(b.Repath(0, l, lost)), 2)
 }
 
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -222,11 +222,11 @@
 // takes 150 ms.
 const maxCrossingWait = 50 * time.Millisecond
 
-// Elsewhere reports whether a running request should restart in another data centre rather than
+// ShouldRestartElsewhere reports whether a running request should restart in another data centre rather than
 // take a changed path around an upstream. Where no other upstream of its data centre holds the
 // layers, a path around it crosses a pipe with all that the stream has read, one stream after the
 // other. A path inside another data centre reads the prompt anew and crosses nothing.
-func (b *Balancer) Elsewhere(now time.Duration, l *Lease, avoid string) bool {
+func (b *Balancer) ShouldRestartElsewhere(now time.Duration, l *Lease, avoid string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u, s := b.upstreams[avoid], b.services[l.requirements.Service]
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -331,7 +331,7 @@
 // they have processed, and the request is not sent again. The stream is resumed as a new request
 // where that would delay it too long or fails.
 func (f *Forwarder) rerouteOnce(ctx context.Context, a *attempt, lost balancer.Hop) {
-	if f.Balancer.Elsewhere(f.Now(), a.lease, lost.ID) && a.reserveRetry() {
+	if f.Balancer.ShouldRestartElsewhere(f.Now(), a.lease, lost.ID) && a.reserveRetry() {
 		a.cancel(errUpstreamSilent)
 		return
 	}
