--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// HeldOff returns the number of requests that skipped an upstream for lack of limit capacity.
-func (b *Balancer) HeldOff() int64 {
+// ThrottledCount returns the number of requests that skipped an upstream for lack of limit capacity.
+func (b *Balancer) ThrottledCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.throttledCount
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -52,7 +52,7 @@
 		got := countByFirstHop(b, limitNamedAt, 20, modelNeed)
 		is.True(got["a1"] >= 35 && got["a1"] <= 44)
 		is.Equal(got[""], 0) // the other data centre gets the rest
-		is.True(b.HeldOff() > 300)
+		is.True(b.ThrottledCount() > 300)
 		is.Equal(b.LimitedSent(), int64(got["a1"]))
 	})
 	t.Run("later stage", func(t *testing.T) {
