--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -156,8 +156,8 @@
 	return n
 }
 
-// LimitedSent returns the number of requests sent to upstreams with a limit in force.
-func (b *Balancer) LimitedSent() int64 {
+// LimitedSentCount returns the number of requests sent to upstreams with a limit in force.
+func (b *Balancer) LimitedSentCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limitedSent
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -53,7 +53,7 @@
 		is.True(got["a1"] >= 35 && got["a1"] <= 44)
 		is.Equal(got[""], 0) // the other data centre gets the rest
 		is.True(b.ThrottledCount() > 300)
-		is.Equal(b.LimitedSent(), int64(got["a1"]))
+		is.Equal(b.LimitedSentCount(), int64(got["a1"]))
 	})
 	t.Run("later stage", func(t *testing.T) {
 		b := newLimitedBalancer(t, nil, 2, "a2")
