--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -354,9 +354,9 @@
 	return out
 }
 
-// Fullest returns the report with at most a given number of upstreams: those that some host can't
+// Truncate returns the report with at most a given number of upstreams: those that some host can't
 // reach or suspects come first, then those with the most capacity in use. It reorders r.Usage.
-func (r Report) Fullest(most int) Report {
+func (r Report) Truncate(most int) Report {
 	if len(r.Usage) <= most {
 		return r
 	}
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -159,11 +159,11 @@
 		r.Usage = append(r.Usage, balancer.Usage{Upstream: fmt.Sprint("u", i), TokenLayers: int64(i)})
 	}
 	r.Usage[3].DeadHosts = 1
-	got := r.Fullest(10)
+	got := r.Truncate(10)
 	is.Equal(len(got.Usage), 10)
 	is.Equal(got.Usage[0].Upstream, "u3")
 	is.Equal(got.Usage[1].Upstream, "u99")
-	is.Equal(len(got.Fullest(20).Usage), 10)
+	is.Equal(len(got.Truncate(20).Usage), 10)
 }
 
 // TestSumOfSelectedUpstreams guards against answers to a host that cover the whole fleet.
--- a/sharer/report.go
+++ b/sharer/report.go
@@ -47,7 +47,7 @@
 			return nil
 		}
 		sum := s.Balancer.Sum(now, func(source string) bool { return strings.HasPrefix(source, dataCentreSource) }, nil)
-		return encodeReport(scope, sum.Fullest(maxRemoteUpstreams))
+		return encodeReport(scope, sum.Truncate(maxRemoteUpstreams))
 	default:
 		return nil
 	}
