--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -156,8 +156,8 @@
 // loss of one upstream from changing any other's rank.
 func rankOf(host, upstream string) uint64 { return xxhash.Sum64String(host + "/" + upstream) }
 
-// InUse returns the number of upstreams that this host uses.
-func (b *Balancer) InUse(now time.Duration) int {
+// SubsetSize returns the number of upstreams that this host uses.
+func (b *Balancer) SubsetSize(now time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refreshSubset(now)
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -267,7 +267,7 @@
 	for _, state := range balancer.StateValues() {
 		m.Func("upstreams_"+state.String(), "Upstreams in this state.", func() float64 { return float64(h.balancer.Count(h.Now(), state)) })
 	}
-	m.Func("upstreams_in_use", "Upstreams that this host sends to or has requests at; a part of a large fleet.", func() float64 { return float64(h.balancer.InUse(h.Now())) })
+	m.Func("upstreams_in_use", "Upstreams that this host sends to or has requests at; a part of a large fleet.", func() float64 { return float64(h.balancer.SubsetSize(h.Now())) })
 	m.Func("limits_in_force", "Upstreams that name a limit in their answers.", func() float64 { return float64(h.balancer.LimitCount()) })
 	m.CounterFunc("limited_requests_sent_total", "Requests sent to upstreams while they named a limit.", func() float64 { return float64(h.balancer.LimitedSentCount()) })
 	m.CounterFunc("limited_requests_held_off_total", "Requests that did not go to an upstream since its limit had no room.", func() float64 { return float64(h.balancer.ThrottledCount()) })
