--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -164,8 +164,8 @@
 	return len(b.subset.used)
 }
 
-// Used returns the ids of the upstreams that this host uses; nil when it uses all.
-func (b *Balancer) Used(now time.Duration) []string {
+// SubsetIDs returns the ids of the upstreams that this host uses; nil when it uses all.
+func (b *Balancer) SubsetIDs(now time.Duration) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refreshSubset(now)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -49,7 +49,7 @@
 			is := is.New(t)
 			times := make(map[string]int)
 			for _, b := range largeFleetHosts(size.hosts, size.upstreams) {
-				used := b.Used(0)
+				used := b.SubsetIDs(0)
 				is.True(len(used) > 0 && len(used) <= size.most)
 				for _, id := range used {
 					times[id]++
@@ -65,7 +65,7 @@
 		})
 	}
 	t.Run("a small fleet is used whole", func(t *testing.T) {
-		is.New(t).True(largeFleetHosts(3, 300)[0].Used(0) == nil)
+		is.New(t).True(largeFleetHosts(3, 300)[0].SubsetIDs(0) == nil)
 	})
 }
 
@@ -76,7 +76,7 @@
 	b := largeFleetHosts(300, 3000)[0]
 	list := largeFleet(3000)
 	lost := 0
-	for _, id := range b.Used(0) {
+	for _, id := range b.SubsetIDs(0) {
 		i := slices.IndexFunc(list, func(u balancer.Upstream) bool { return u.ID == id })
 		if list[i].Layers.From == 40 {
 			b.SetDead(time.Second, id, true)
@@ -102,8 +102,8 @@
 		}
 	}
 	b.UpdateUpstreams(changed, nil)
-	is.True(slices.Contains(b.Used(time.Second), hops[3].ID))
+	is.True(slices.Contains(b.SubsetIDs(time.Second), hops[3].ID))
 	b.Release(l)
 	b.UpdateUpstreams([]balancer.Upstream{{ID: "more", Service: "model", Address: "more", DataCentre: "dc0"}}, nil)
-	is.True(!slices.Contains(b.Used(2*time.Second), hops[3].ID))
+	is.True(!slices.Contains(b.SubsetIDs(2*time.Second), hops[3].ID))
 }
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -257,7 +257,7 @@
 		req.Version = cfg.Version
 	}
 	if c.scope == peer.Scope_SCOPE_HOST {
-		req.Upstreams = s.Balancer.Used(sent)
+		req.Upstreams = s.Balancer.SubsetIDs(sent)
 	}
 	if c.changes || c.full {
 		at := s.Follower.Position()
