--- a/balancer/path.go
+++ b/balancer/path.go
@@ -318,9 +318,9 @@
 	return links
 }
 
-// Uncovered describes which layers of a service no usable upstream holds, and why each upstream
+// DescribeUncovered describes which layers of a service no usable upstream holds, and why each upstream
 // that holds layers but isn't usable is not; for logs.
-func (b *Balancer) Uncovered(now time.Duration, service string) string {
+func (b *Balancer) DescribeUncovered(now time.Duration, service string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.services[service]
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -362,7 +362,7 @@
 	case reason == balancer.ReasonNoRoom:
 		k.refuse(admitter.ReasonQueueFull, "no room")
 	default:
-		k.refuse(admitter.ReasonNoRoute, "no upstream: "+k.Balancer.Uncovered(k.Now(), k.service.Name))
+		k.refuse(admitter.ReasonNoRoute, "no upstream: "+k.Balancer.DescribeUncovered(k.Now(), k.service.Name))
 	}
 }
 
