--- a/limiter/limit.go
+++ b/limiter/limit.go
@@ -22,8 +22,8 @@
 	// PerSecond is the limit for all hosts together, in requests a second; Unlimited once the
 	// upstream no longer names one. It is never negative.
 	PerSecond float64
-	// Since is when an answer last confirmed the limit to this host, or another host sent it.
-	Since time.Duration
+	// ConfirmedAt is when an answer last confirmed the limit to this host, or another host sent it.
+	ConfirmedAt time.Duration
 	// Heard is when an answer last named it to any host.
 	Heard time.Duration
 }
@@ -45,17 +45,17 @@
 // ended. It reports whether the limit changed.
 func (l *Limit) Observe(now, sent time.Duration, perSecond float64) bool {
 	current := l.Rate()
-	overtaken := l.Version > 0 && sent < l.Since
+	overtaken := l.Version > 0 && sent < l.ConfirmedAt
 	switch {
 	case perSecond == current:
 		if l.InForce() {
-			l.Since, l.Heard = now, now
+			l.ConfirmedAt, l.Heard = now, now
 		}
 		return false
 	case overtaken && (perSecond > current || !l.InForce()):
 		return false
 	}
-	*l = Limit{Version: l.Version + 1, PerSecond: perSecond, Since: now, Heard: now}
+	*l = Limit{Version: l.Version + 1, PerSecond: perSecond, ConfirmedAt: now, Heard: now}
 	return true
 }
 
@@ -66,7 +66,7 @@
 		return false
 	}
 	before := l.Rate()
-	*l = Limit{Version: other.Version, PerSecond: other.PerSecond, Since: now, Heard: other.Heard}
+	*l = Limit{Version: other.Version, PerSecond: other.PerSecond, ConfirmedAt: now, Heard: other.Heard}
 	return l.Rate() != before
 }
 
