--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -99,7 +99,7 @@
 		// Requests that were sent before count against the lower limit as well.
 		l.bucket = limiter.NewBucket(now)
 	}
-	return LimitChange{Upstream: id, Address: u.Address, Before: was, After: l.Rate(), Age: now - l.Heard}, true
+	return LimitChange{Upstream: id, Address: u.Address, Before: was, After: l.Rate(), Age: now - l.LastNamedAt}, true
 }
 
 // UnreadableLimit records that an upstream named a limit that can't be parsed. It reports
--- a/limiter/limit.go
+++ b/limiter/limit.go
@@ -24,8 +24,8 @@
 	PerSecond float64
 	// ConfirmedAt is when an answer last confirmed the limit to this host, or another host sent it.
 	ConfirmedAt time.Duration
-	// Heard is when an answer last named it to any host.
-	Heard time.Duration
+	// LastNamedAt is when an answer last named it to any host.
+	LastNamedAt time.Duration
 }
 
 // InForce reports whether the upstream names a limit.
@@ -49,13 +49,13 @@
 	switch {
 	case perSecond == current:
 		if l.InForce() {
-			l.ConfirmedAt, l.Heard = now, now
+			l.ConfirmedAt, l.LastNamedAt = now, now
 		}
 		return false
 	case overtaken && (perSecond > current || !l.InForce()):
 		return false
 	}
-	*l = Limit{Version: l.Version + 1, PerSecond: perSecond, ConfirmedAt: now, Heard: now}
+	*l = Limit{Version: l.Version + 1, PerSecond: perSecond, ConfirmedAt: now, LastNamedAt: now}
 	return true
 }
 
@@ -66,7 +66,7 @@
 		return false
 	}
 	before := l.Rate()
-	*l = Limit{Version: other.Version, PerSecond: other.PerSecond, ConfirmedAt: now, Heard: other.Heard}
+	*l = Limit{Version: other.Version, PerSecond: other.PerSecond, ConfirmedAt: now, LastNamedAt: other.LastNamedAt}
 	return l.Rate() != before
 }
 
--- a/sharer/limits.go
+++ b/sharer/limits.go
@@ -32,7 +32,7 @@
 	out := make([]*peer.Limit, len(list))
 	for i := range list {
 		l := &list[i]
-		out[i] = &peer.Limit{Upstream: l.Upstream, Born: l.StartedAt, Version: l.Version, AgeMs: (now - l.Heard).Milliseconds()}
+		out[i] = &peer.Limit{Upstream: l.Upstream, Born: l.StartedAt, Version: l.Version, AgeMs: (now - l.LastNamedAt).Milliseconds()}
 		if out[i].Ended = !l.InForce(); !out[i].Ended {
 			out[i].PerSecond = l.PerSecond
 		}
@@ -45,7 +45,7 @@
 	s.heardFromHost.Store(true)
 	now := s.Now()
 	for _, p := range list {
-		l := limiter.Limit{Version: p.Version, PerSecond: p.PerSecond, Heard: now - millis(p.AgeMs)}
+		l := limiter.Limit{Version: p.Version, PerSecond: p.PerSecond, LastNamedAt: now - millis(p.AgeMs)}
 		if p.Ended {
 			l.PerSecond = limiter.Unlimited
 		}
