--- a/limiter/share.go
+++ b/limiter/share.go
@@ -25,9 +25,9 @@
 	PerSecond float64
 	// Burst is how many requests it may send at once after a pause; at least 1 for a positive rate.
 	Burst float64
-	// Start is the part of a request that the bucket starts with. It differs by host, since with
+	// InitialLevel is the part of a request that the bucket starts with. It differs by host, since with
 	// a low limit all hosts would otherwise wait equally long for their first request.
-	Start float64
+	InitialLevel float64
 }
 
 // ShareOf divides a limit in requests a second among hosts. It returns the share of the host at a
@@ -39,7 +39,7 @@
 	if float64(place) >= activeHosts {
 		return Share{}
 	}
-	return Share{PerSecond: rate / activeHosts, Burst: max(1, (rate+extraBurst)/activeHosts), Start: float64(place) / activeHosts}
+	return Share{PerSecond: rate / activeHosts, Burst: max(1, (rate+extraBurst)/activeHosts), InitialLevel: float64(place) / activeHosts}
 }
 
 // Bucket is the token bucket of a share. The zero value starts at time 0.
@@ -55,7 +55,7 @@
 // fill adds the level gained since the last call.
 func (b *Bucket) fill(now time.Duration, s Share) {
 	if !b.started {
-		b.level, b.started = s.Start, true
+		b.level, b.started = s.InitialLevel, true
 	}
 	b.level = min(s.Burst, b.level+(now-b.filledAt).Seconds()*s.PerSecond)
 	b.filledAt = now
