--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -171,7 +171,7 @@
 		return true
 	}
 	b.updateShare(now, u)
-	return now >= l.usableFrom && l.bucket.Has(now, l.share, begun)
+	return now >= l.usableFrom && l.bucket.CanTake(now, l.share, begun)
 }
 
 // countSent counts a sent request against the limit of its upstream.
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -70,8 +70,8 @@
 	return 1
 }
 
-// Has reports whether a request may be sent now; urgent is for a request that has to go on.
-func (b *Bucket) Has(now time.Duration, s Share, urgent bool) bool {
+// CanTake reports whether a request may be sent now; urgent is for a request that has to go on.
+func (b *Bucket) CanTake(now time.Duration, s Share, urgent bool) bool {
 	if s.PerSecond == 0 {
 		return false
 	}
--- a/limiter/share_test.go
+++ b/limiter/share_test.go
@@ -37,7 +37,7 @@
 		now += time.Duration(rnd.ExpFloat64() / arrivals * float64(time.Second))
 		place := rnd.IntN(hosts)
 		s := share(place, hosts)
-		if buckets[place].Has(now, s, false) {
+		if buckets[place].CanTake(now, s, false) {
 			buckets[place].Take(now, s)
 			out = append(out, now)
 		}
@@ -76,14 +76,14 @@
 	s := Share{PerSecond: 2, Burst: 2}
 	b := NewBucket(0)
 	sent := 0
-	for b.Has(time.Hour, s, true) {
+	for b.CanTake(time.Hour, s, true) {
 		b.Take(time.Hour, s)
 		sent++
 	}
 	is.Equal(sent, 2)
-	is.True(!b.Has(time.Hour+400*time.Millisecond, s, true))
-	is.True(b.Has(time.Hour+600*time.Millisecond, s, true))
-	is.True(!b.Has(time.Hour+600*time.Millisecond, s, false)) // the last one is kept for urgent requests
+	is.True(!b.CanTake(time.Hour+400*time.Millisecond, s, true))
+	is.True(b.CanTake(time.Hour+600*time.Millisecond, s, true))
+	is.True(!b.CanTake(time.Hour+600*time.Millisecond, s, false)) // the last one is kept for urgent requests
 	wait, ok := b.Wait(time.Hour+600*time.Millisecond, s)
 	is.True(ok)
 	is.True(wait > 300*time.Millisecond && wait <= 500*time.Millisecond)
--- a/limiter/ways_test.go
+++ b/limiter/ways_test.go
@@ -22,7 +22,7 @@
 
 func (s *shareStrategy) allow(now time.Duration, host int) bool {
 	part := s.shareFor(host, len(s.buckets))
-	if !s.buckets[host].Has(now, part, false) {
+	if !s.buckets[host].CanTake(now, part, false) {
 		return false
 	}
 	s.buckets[host].Take(now, part)
@@ -47,7 +47,7 @@
 	// Calls since the last request are made up for in the order of their time.
 	for at := p.lastCall[host] + p.interval; at <= now; at += p.interval {
 		p.lastCall[host] = at
-		if p.wantsPermit[host] && p.validUntil[host] < at && p.bucket.Has(at, all, true) {
+		if p.wantsPermit[host] && p.validUntil[host] < at && p.bucket.CanTake(at, all, true) {
 			p.bucket.Take(at, all)
 			p.validUntil[host], p.wantsPermit[host] = at+valid, false
 		}
