--- a/limiter/limit.go
+++ b/limiter/limit.go
@@ -73,21 +73,21 @@
 // maxVersion bounds the versions that are accepted from other hosts.
 const maxVersion = 1 << 40
 
-// ImpossibleError is a limit that is out of range.
-type ImpossibleError struct {
+// InvalidLimitError is a limit that is out of range.
+type InvalidLimitError struct {
 	Version   int64
 	PerSecond float64
 }
 
 // Error names the rate and the version.
-func (e *ImpossibleError) Error() string {
+func (e *InvalidLimitError) Error() string {
 	return fmt.Sprintf("limiter: limit of %g requests a second, version %d, out of range", e.PerSecond, e.Version)
 }
 
 // Check returns an *ImpossibleError for a version or rate that is out of range.
 func (l *Limit) Check() error {
 	if l.Version < 1 || l.Version > maxVersion || l.PerSecond < 0 || math.IsNaN(l.PerSecond) {
-		return &ImpossibleError{l.Version, l.PerSecond}
+		return &InvalidLimitError{l.Version, l.PerSecond}
 	}
 	return nil
 }
