--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -46,8 +46,8 @@
 	writeGrace = time.Second
 )
 
-// Tables provides the configuration in force.
-type Tables interface {
+// TableSource provides the configuration in force.
+type TableSource interface {
 	// Table returns the routing table; nil before the first configuration.
 	Table() *matcher.Table
 	// Age returns the time since the table was last known to be current.
@@ -57,7 +57,7 @@
 // Forwarder is the http.Handler that proxies callers' requests. Its exported fields are set
 // before use.
 type Forwarder struct {
-	Tables   Tables
+	Tables   TableSource
 	Balancer *balancer.Balancer
 	Pool     *connector.Pool
 	Engines  Engines
