--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -62,8 +62,8 @@
 	Pool     *connector.Pool
 	Engines  Engines
 	Headers  Headers
-	// Budget returns the retry budget of a service.
-	Budget func(service string) *admitter.Window
+	// RetryBudget returns the retry budget of a service.
+	RetryBudget func(service string) *admitter.Window
 	// Latency returns the limit on a service's streams in flight.
 	Latency func(service string) *admitter.Latency
 	// Suspects records which requests were in flight when upstreams crashed.
@@ -171,7 +171,7 @@
 	ctl.SetWriteDeadline(time.Now().Add(left + writeGrace))
 	ctx, cancel := context.WithTimeout(r.Context(), left)
 	defer cancel()
-	k.Budget(k.service.Name).Request(f.Now())
+	k.RetryBudget(k.service.Name).Request(f.Now())
 	if k.route.Kind == matcher.KindStreaming {
 		k.serveStream(ctx)
 		return
@@ -390,7 +390,7 @@
 	if k.refuseQuarantined() {
 		return false
 	}
-	if k.rejected > maxRejections || !k.Budget(k.service.Name).Spend(k.Now()) {
+	if k.rejected > maxRejections || !k.RetryBudget(k.service.Name).Spend(k.Now()) {
 		if k.runs > 0 {
 			return k.refuse(admitter.ReasonRetryBudget, "no retries left")
 		}
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -53,7 +53,7 @@
 			k.writeAnswer(a)
 			return
 		}
-		if v == verdictFailed && (!k.route.Repeatable() || k.runs+1 >= k.route.MaxAttempts || !k.Budget(k.service.Name).Spend(k.Now())) {
+		if v == verdictFailed && (!k.route.Repeatable() || k.runs+1 >= k.route.MaxAttempts || !k.RetryBudget(k.service.Name).Spend(k.Now())) {
 			k.writeAnswer(a)
 			return
 		}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -99,7 +99,7 @@
 // takeResumeRetry takes a retry to resume a stream that has begun, and reports whether there was
 // one.
 func (k *call) takeResumeRetry() bool {
-	return k.route.Resumable && k.Budget(k.service.Name).Spend(k.Now())
+	return k.route.Resumable && k.RetryBudget(k.service.Name).Spend(k.Now())
 }
 
 // avoidFirst excludes the first upstream of an attempt that delivered no event from later attempts.
