--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -64,8 +64,8 @@
 	Headers  Headers
 	// RetryBudget returns the retry budget of a service.
 	RetryBudget func(service string) *admitter.Window
-	// Latency returns the limit on a service's streams in flight.
-	Latency func(service string) *admitter.Latency
+	// StreamLimiter returns the limit on a service's streams in flight.
+	StreamLimiter func(service string) *admitter.Latency
 	// Suspects records which requests were in flight when upstreams crashed.
 	Suspects *tracker.Suspects
 	// Informed reports whether this host has learned which upstreams announce a request
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -63,7 +63,7 @@
 
 // serveStream serves a streaming request, over further attempts where one is interrupted.
 func (k *call) serveStream(ctx context.Context) {
-	limit := k.Latency(k.service.Name)
+	limit := k.StreamLimiter(k.service.Name)
 	if !limit.Enter() {
 		k.refuse(admitter.ReasonQueueFull, "first events come late")
 		return
@@ -240,7 +240,7 @@
 // counts.
 func (k *call) sampleLatency(now time.Duration, late bool) {
 	if k.latencySampled.CompareAndSwap(false, true) {
-		k.Latency(k.service.Name).Sample(now, late)
+		k.StreamLimiter(k.service.Name).Sample(now, late)
 	}
 }
 
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -179,17 +179,17 @@
 	h.pool = &connector.Pool{Dial: h.Dial, Now: h.Now, RequestID: h.Headers.RequestID, Opened: func() { h.opened.Add(1) }}
 	suspects := new(tracker.Suspects)
 	h.forward = &forwarder.Forwarder{
-		Tables:      h.follow,
-		Balancer:    h.balancer,
-		Pool:        h.pool,
-		Engines:     h.Engines,
-		Headers:     h.Headers,
-		RetryBudget: h.budgets.Get,
-		Latency:     h.latencies.Get,
-		Suspects:    suspects,
-		Now:         h.Now,
-		Meter:       h.meter,
-		Log:         h.Log,
+		Tables:        h.follow,
+		Balancer:      h.balancer,
+		Pool:          h.pool,
+		Engines:       h.Engines,
+		Headers:       h.Headers,
+		RetryBudget:   h.budgets.Get,
+		StreamLimiter: h.latencies.Get,
+		Suspects:      suspects,
+		Now:           h.Now,
+		Meter:         h.meter,
+		Log:           h.Log,
 	}
 	suspects.WentDown = h.forward.WentDown
 	if cfg.RevokeMs > 0 {
