--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -68,9 +68,9 @@
 	StreamLimiter func(service string) *admitter.Latency
 	// Suspects records which requests were in flight when upstreams crashed.
 	Suspects *tracker.Suspects
-	// Informed reports whether this host has learned which upstreams announce a request
+	// LimitsKnown reports whether this host has learned which upstreams announce a request
 	// limit; until then the host is not ready. nil means always.
-	Informed func() bool
+	LimitsKnown func() bool
 	// KeysValid is the age of the configuration from which keys are no longer accepted; 0 means
 	// that they never expire.
 	KeysValid time.Duration
@@ -98,7 +98,7 @@
 
 // Ready reports whether this host can serve requests.
 func (f *Forwarder) Ready() bool {
-	informed := f.Informed == nil || f.Informed()
+	informed := f.LimitsKnown == nil || f.LimitsKnown()
 	return !f.stopping.Load() && f.Tables.Table() != nil && informed && f.keysFresh()
 }
 
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -216,7 +216,7 @@
 		Log:        h.Log,
 	}
 	h.follow.ReadsSource, h.follow.ReaderCount = h.share.ReadsSource, h.share.ReaderCount
-	h.forward.Informed = h.share.KnowsLimits
+	h.forward.LimitsKnown = h.share.KnowsLimits
 	h.paces = &pacer.Pacer{Balancer: h.balancer, Engines: h.Engines, Now: h.Now, Log: h.Log}
 	h.exportMetrics()
 	h.orders = &orderer.Orderer{
