--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -71,9 +71,9 @@
 	// LimitsKnown reports whether this host has learned which upstreams announce a request
 	// limit; until then the host is not ready. nil means always.
 	LimitsKnown func() bool
-	// KeysValid is the age of the configuration from which keys are no longer accepted; 0 means
+	// MaxKeyAge is the age of the configuration from which keys are no longer accepted; 0 means
 	// that they never expire.
-	KeysValid time.Duration
+	MaxKeyAge time.Duration
 	// Now returns a monotonic time that advances while the machine is suspended.
 	Now   func() time.Duration
 	Meter *meter.Meter
@@ -109,7 +109,7 @@
 // that is cut off from updates must not accept a key that was revoked meanwhile.
 func (f *Forwarder) keysFresh() bool {
 	t := f.Tables.Table()
-	return f.KeysValid == 0 || t == nil || !t.Keyed || f.Tables.Age() < f.KeysValid
+	return f.MaxKeyAge == 0 || t == nil || !t.Keyed || f.Tables.Age() < f.MaxKeyAge
 }
 
 // call is one request of a caller and the state of serving it.
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -193,7 +193,7 @@
 	}
 	suspects.WentDown = h.forward.WentDown
 	if cfg.RevokeMs > 0 {
-		h.forward.KeysValid = millis(cfg.RevokeMs) - keyMargin
+		h.forward.MaxKeyAge = millis(cfg.RevokeMs) - keyMargin
 	}
 	h.register = &registrar.Registrar{
 		Store:      h.Store,
