--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -45,9 +45,9 @@
 	// Repath tells the first upstream of a path to continue a request over other hops. After an
 	// error the path may or may not have changed.
 	Repath(ctx context.Context, requestID string, hops []balancer.Hop) error
-	// Stalled asks an upstream which of the requests for which it is the first hop wait for
+	// QueryStalls asks an upstream which of the requests for which it is the first hop wait for
 	// another upstream.
-	Stalled(ctx context.Context, address string) ([]Stall, error)
+	QueryStalls(ctx context.Context, address string) ([]Stall, error)
 }
 
 // Stall is a request that waits for an upstream of its path.
@@ -148,7 +148,7 @@
 		defer f.endProbe("stalled "+h.ID, stallQueryInterval)
 		ctx, cancel := context.WithTimeout(ctx, stallQueryTimeout)
 		defer cancel()
-		stalls, err := f.Engines.Stalled(ctx, h.Address)
+		stalls, err := f.Engines.QueryStalls(ctx, h.Address)
 		if err != nil {
 			f.Log.Debug().Err(err).Str("upstream", h.ID).Msg("forwarder: query for stalled requests failed")
 			return
