--- a/connector/connector.go
+++ b/connector/connector.go
@@ -106,8 +106,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Once is set when the request must not run twice.
-	Once bool
+	// AtMostOnce is set when the request must not run twice.
+	AtMostOnce bool
 }
 
 // Response is a response whose body is still to be read. Done must be called on each one.
@@ -247,7 +247,7 @@
 			break
 		}
 		now := p.Now()
-		if c.usableUntil > now && (!r.Once || now-c.idleSince < maxIdleForOnce) && isIdle(c) {
+		if c.usableUntil > now && (!r.AtMostOnce || now-c.idleSince < maxIdleForOnce) && isIdle(c) {
 			return c, nil
 		}
 		c.Close()
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -75,7 +75,7 @@
 
 func doRequest(p *connector.Pool, id string, once bool) (string, error) {
 	resp, err := p.Do(context.Background(), &connector.Request{
-		Address: address, Method: http.MethodPost, Target: "/a?b=c", Host: "x", Header: http.Header{"Id": {id}}, Body: []byte("body"), Once: once,
+		Address: address, Method: http.MethodPost, Target: "/a?b=c", Host: "x", Header: http.Header{"Id": {id}}, Body: []byte("body"), AtMostOnce: once,
 	})
 	if err != nil {
 		return "", err
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -316,13 +316,13 @@
 		h.Set(k.Headers.Path, FormatPath(k.Balancer.Path(l)))
 	}
 	return &connector.Request{
-		Address: l.First.Address,
-		Method:  k.r.Method,
-		Target:  k.r.RequestURI,
-		Host:    k.r.Host,
-		Header:  h,
-		Body:    k.body,
-		Once:    !k.route.Repeatable(),
+		Address:    l.First.Address,
+		Method:     k.r.Method,
+		Target:     k.r.RequestURI,
+		Host:       k.r.Host,
+		Header:     h,
+		Body:       k.body,
+		AtMostOnce: !k.route.Repeatable(),
 	}
 }
 
