--- a/connector/connector.go
+++ b/connector/connector.go
@@ -80,8 +80,8 @@
 	Now func() time.Duration
 	// RequestID is the name of the header that identifies a request; the response repeats it.
 	RequestID string
-	// Opened is called before each dial; nil means no call.
-	Opened func()
+	// OnDial is called before each dial; nil means no call.
+	OnDial func()
 
 	mu sync.Mutex
 	// idle holds the idle connections by address, the most recently used last.
@@ -252,8 +252,8 @@
 		}
 		c.Close()
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnDial != nil {
+		p.OnDial()
 	}
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
