--- a/connector/connector.go
+++ b/connector/connector.go
@@ -298,8 +298,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes the idle connections that may no longer be reused.
-func (p *Pool) Sweep() {
+// CloseExpired closes the idle connections that may no longer be reused.
+func (p *Pool) CloseExpired() {
 	now := p.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -357,7 +357,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			h.pool.Sweep()
+			h.pool.CloseExpired()
 			h.forward.Suspects.Sweep(time.Now())
 		}
 	}
