--- a/connector/connector.go
+++ b/connector/connector.go
@@ -78,8 +78,8 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Now returns a monotonic time that advances while the machine is suspended.
 	Now func() time.Duration
-	// RequestID is the name of the header that identifies a request; the response repeats it.
-	RequestID string
+	// RequestIDHeader is the name of the header that identifies a request; the response repeats it.
+	RequestIDHeader string
 	// OnDial is called before each dial; nil means no call.
 	OnDial func()
 
@@ -162,13 +162,13 @@
 			writeErr <- err
 		}()
 	}
-	want := r.Header.Get(p.RequestID)
+	want := r.Header.Get(p.RequestIDHeader)
 	for range maxStaleResponses + 1 {
 		h, err := http.ReadResponse(c.br, &http.Request{Method: r.Method}) //nolint:bodyclose // Response.Done ends its use
 		if err != nil {
 			return nil, true, err
 		}
-		if got := h.Header.Get(p.RequestID); got == want || got == "" {
+		if got := h.Header.Get(p.RequestIDHeader); got == want || got == "" {
 			return &Response{Response: h, pool: p, conn: c, writeErr: writeErr}, true, nil
 		}
 		// A late response to an earlier request comes first on the connection; the one to this
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -176,7 +176,7 @@
 		Rand:       rand.New(rand.NewPCG(h.Seed, 1)),
 	}
 	h.follow = &follower.Follower{Host: cfg.Host, Source: h.Source, Balancer: h.balancer, Now: h.Now, OnChange: h.tellHosts, Log: h.Log}
-	h.pool = &connector.Pool{Dial: h.Dial, Now: h.Now, RequestID: h.Headers.RequestID, OnDial: func() { h.opened.Add(1) }}
+	h.pool = &connector.Pool{Dial: h.Dial, Now: h.Now, RequestIDHeader: h.Headers.RequestID, OnDial: func() { h.opened.Add(1) }}
 	suspects := new(tracker.Suspects)
 	h.forward = &forwarder.Forwarder{
 		Tables:        h.follow,
