--- a/connector/connector.go
+++ b/connector/connector.go
@@ -371,5 +371,5 @@
 	return err == nil && open
 }
 
-// Whole reports whether the body was read to its end.
-func (r *Response) Whole() bool { return r.complete }
+// Complete reports whether the body was read to its end.
+func (r *Response) Complete() bool { return r.complete }
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -275,7 +275,7 @@
 	}
 	k.Balancer.RecordFailure(l.First.ID)
 	k.logAttempt(l, "stream failed with status "+strconv.Itoa(resp.StatusCode), err)
-	if err != nil || !resp.Whole() {
+	if err != nil || !resp.Complete() {
 		return verdictMayHaveRun
 	}
 	if !k.headerSent && (resp.StatusCode < http.StatusInternalServerError || !k.route.Resumable || k.runs+1 >= k.route.MaxAttempts) {
