--- a/connector/connector.go
+++ b/connector/connector.go
@@ -26,15 +26,15 @@
 	Address string
 	// Sent is set when any byte of the request was written, so that it may have run.
 	Sent bool
-	// Dial is set when no connection could be opened.
-	Dial bool
-	Err  error
+	// DialFailed is set when no connection could be opened.
+	DialFailed bool
+	Err        error
 }
 
 // Error returns the message, with the address and the cause.
 func (e *Error) Error() string {
 	what := "exchange with "
-	if e.Dial {
+	if e.DialFailed {
 		what = "connecting to "
 	}
 	return "connector: " + what + e.Address + ": " + e.Err.Error()
@@ -129,7 +129,7 @@
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.getConn(ctx, r)
 	if err != nil {
-		return nil, &Error{Address: r.Address, Dial: true, Err: err}
+		return nil, &Error{Address: r.Address, DialFailed: true, Err: err}
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	resp, sent, err := p.exchange(c, r)
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -100,7 +100,7 @@
 		k.sentOnce = true
 	}
 	if ctx.Err() == nil {
-		if e.Dial {
+		if e.DialFailed {
 			if k.Balancer.SetDead(k.Now(), l.First.ID, true) {
 				k.Log.Warn().Str("requestId", k.id).Str("upstream", l.First.ID).Str("address", l.First.Address).Err(err).Msg("forwarder: upstream out")
 			}
