--- a/faker/engine.go
+++ b/faker/engine.go
@@ -342,7 +342,7 @@
 }
 
 // run runs layers for one token. first is set on a request's first token here.
-func (e *Engine) run(ctx context.Context, g *streamer.Generate, s streamer.Stage, first bool) *streamer.EngineError {
+func (e *Engine) run(ctx context.Context, g *streamer.GenerateRequest, s streamer.Stage, first bool) *streamer.EngineError {
 	if err := e.thaw(ctx); err != nil {
 		return e.errorf(streamer.KindDown, "canceled")
 	}
@@ -379,7 +379,7 @@
 }
 
 // check reports why a stage can't run here.
-func (e *Engine) check(g *streamer.Generate, s streamer.Stage, first bool) *streamer.EngineError {
+func (e *Engine) check(g *streamer.GenerateRequest, s streamer.Stage, first bool) *streamer.EngineError {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -394,7 +394,7 @@
 }
 
 // cost is a token's part of a batch: the prompt is read with the first one.
-func (e *Engine) cost(g *streamer.Generate, first bool) float64 {
+func (e *Engine) cost(g *streamer.GenerateRequest, first bool) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !first {
--- a/faker/generate.go
+++ b/faker/generate.go
@@ -16,7 +16,7 @@
 const loadEvery = 250 * time.Millisecond
 
 // Generate implements streamer.Engine in memory.
-func (f *Fleet) Generate(ctx context.Context, address string, g *streamer.Generate) (streamer.Frames, error) {
+func (f *Fleet) Generate(ctx context.Context, address string, g *streamer.GenerateRequest) (streamer.Frames, error) {
 	e := f.at(address)
 	if e == nil || e.Dead() {
 		return nil, streamer.ErrNotSent
@@ -73,7 +73,7 @@
 
 // generate is the first stage's work: it has each token run through all stages
 // and emits a frame for it.
-func (e *Engine) generate(ctx context.Context, g *streamer.Generate, emit func(*streamer.Frame) error) error {
+func (e *Engine) generate(ctx context.Context, g *streamer.GenerateRequest, emit func(*streamer.Frame) error) error {
 	e.fleet.mu.Lock()
 	e.fleet.started[g.RequestID]++
 	e.fleet.mu.Unlock()
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (e *Engine) token(ctx context.Context, g *streamer.Generate, stages []*Engine, i int) (*streamer.Frame, *streamer.EngineError) {
+func (e *Engine) token(ctx context.Context, g *streamer.GenerateRequest, stages []*Engine, i int) (*streamer.Frame, *streamer.EngineError) {
 	fr := &streamer.Frame{RequestID: g.RequestID, Attempt: g.Attempt, Index: i, Text: Token(g.Prompt, i)}
 	first := i == len(g.Delivered)
 	at := e.Upstream.DataCentre
@@ -177,7 +177,7 @@
 }
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
-	g := new(streamer.Generate)
+	g := new(streamer.GenerateRequest)
 	if err := json.NewDecoder(r.Body).Decode(g); err != nil || g.Check() != nil {
 		refuse(w, http.StatusBadRequest, &streamer.EngineError{Kind: streamer.KindInvalid, NotRun: true})
 		return
--- a/runner/speed_test.go
+++ b/runner/speed_test.go
@@ -33,7 +33,7 @@
 		_ = json.NewEncoder(w).Encode(tracker.Load{Incarnation: 1})
 		return
 	}
-	g := new(streamer.Generate)
+	g := new(streamer.GenerateRequest)
 	if json.NewDecoder(r.Body).Decode(g) != nil {
 		return
 	}
--- a/streamer/client.go
+++ b/streamer/client.go
@@ -35,7 +35,7 @@
 // Engine starts attempts on engines. The error of Generate wraps ErrNotSent when the request
 // certainly did not start; it may be an *EngineError.
 type Engine interface {
-	Generate(ctx context.Context, address string, g *Generate) (Frames, error)
+	Generate(ctx context.Context, address string, g *GenerateRequest) (Frames, error)
 }
 
 // Client is an Engine that talks to engines over HTTP; the response is one JSON frame a line.
@@ -44,7 +44,7 @@
 }
 
 // Generate implements Engine. Closing the stream cancels the run.
-func (c *Client) Generate(ctx context.Context, address string, g *Generate) (Frames, error) {
+func (c *Client) Generate(ctx context.Context, address string, g *GenerateRequest) (Frames, error) {
 	body, err := json.Marshal(g)
 	if err != nil {
 		return nil, fmt.Errorf("encoding request: %w", err)
--- a/streamer/messages.go
+++ b/streamer/messages.go
@@ -20,9 +20,9 @@
 	Address string `json:"address"`
 }
 
-// Generate is the request to the engine of the first stage for a stream of frames. It names
+// GenerateRequest is the request to the engine of the first stage for a stream of frames. It names
 // the model, the version and the layers, so that an engine which holds others refuses it.
-type Generate struct {
+type GenerateRequest struct {
 	RequestID string `json:"requestId"`
 	// Attempt counts the job's attempts from 1; frames of another attempt are dropped.
 	Attempt   int    `json:"attempt"`
@@ -40,7 +40,7 @@
 }
 
 // Check returns an error that names the first invalid field, or nil.
-func (g *Generate) Check() error {
+func (g *GenerateRequest) Check() error {
 	switch {
 	case g.RequestID == "":
 		return errors.New("requestId is empty")
--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -220,8 +220,8 @@
 	return nil
 }
 
-func (r *run) request(stages []Stage) *Generate {
-	return &Generate{
+func (r *run) request(stages []Stage) *GenerateRequest {
+	return &GenerateRequest{
 		RequestID: r.job.ID,
 		Attempt:   r.result.Attempts,
 		Model:     r.job.Model,
--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -58,10 +58,10 @@
 
 // scriptedEngine is an http.RoundTripper that responds to each attempt with the bytes that the
 // function makes from the attempt's complete frames.
-type scriptedEngine func(g *streamer.Generate, whole [][]byte) []byte
+type scriptedEngine func(g *streamer.GenerateRequest, whole [][]byte) []byte
 
 func (e scriptedEngine) RoundTrip(r *http.Request) (*http.Response, error) {
-	g := new(streamer.Generate)
+	g := new(streamer.GenerateRequest)
 	if err := json.NewDecoder(r.Body).Decode(g); err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body)), Request: r}, nil
 }
 
-func frames(g *streamer.Generate) [][]byte {
+func frames(g *streamer.GenerateRequest) [][]byte {
 	var out [][]byte
 	for i := len(g.Delivered); i < g.MaxTokens; i++ {
 		out = append(out, encodeFrame(g, i, func(*streamer.Frame) {}))
@@ -78,7 +78,7 @@
 }
 
 // encodeFrame returns the encoded frame of token i, modified by change.
-func encodeFrame(g *streamer.Generate, i int, change func(f *streamer.Frame)) []byte {
+func encodeFrame(g *streamer.GenerateRequest, i int, change func(f *streamer.Frame)) []byte {
 	f := &streamer.Frame{RequestID: g.RequestID, Attempt: g.Attempt, Index: i, Text: faker.Token(g.Prompt, i)}
 	for _, s := range g.Route {
 		f.Spans = append(f.Spans, s.Span)
@@ -120,11 +120,11 @@
 // TestResumeAfterCutAtEveryByte guards against a partial, repeated or lost token when the connection
 // to an engine breaks within a frame. It cuts the stream at every byte in turn.
 func TestResumeAfterCutAtEveryByte(t *testing.T) {
-	g := &streamer.Generate{RequestID: "r1", Attempt: 1, Prompt: prompt, MaxTokens: tokens}
+	g := &streamer.GenerateRequest{RequestID: "r1", Attempt: 1, Prompt: prompt, MaxTokens: tokens}
 	g.Route, _, _ = new(fixedRouter).Route(t.Context(), nil, 1)
 	size := len(bytes.Join(frames(g), nil))
 	for n := range size {
-		got, res, _, _ := runJob(t, func(g *streamer.Generate, whole [][]byte) []byte {
+		got, res, _, _ := runJob(t, func(g *streamer.GenerateRequest, whole [][]byte) []byte {
 			all := bytes.Join(whole, nil)
 			if g.Attempt == 1 {
 				return all[:n]
@@ -144,45 +144,45 @@
 		cause streamer.Cause
 		// dropped is the number of frames that are ignored.
 		dropped int64
-		first   func(g *streamer.Generate, whole [][]byte) [][]byte
+		first   func(g *streamer.GenerateRequest, whole [][]byte) [][]byte
 	}{
-		{"doubled", streamer.CauseNone, 4, func(_ *streamer.Generate, w [][]byte) [][]byte {
+		{"doubled", streamer.CauseNone, 4, func(_ *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], w[0], w[1], w[0], w[1], w[2], w[2], w[3]}
 		}},
-		{"another request's", streamer.CauseNone, 2, func(g *streamer.Generate, w [][]byte) [][]byte {
+		{"another request's", streamer.CauseNone, 2, func(g *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{encodeFrame(g, 0, other), w[0], w[1], encodeFrame(g, 2, other), w[2], w[3]}
 		}},
-		{"of an older attempt", streamer.CauseNone, 1, func(g *streamer.Generate, w [][]byte) [][]byte {
+		{"of an older attempt", streamer.CauseNone, 1, func(g *streamer.GenerateRequest, w [][]byte) [][]byte {
 			late := encodeFrame(g, 0, func(f *streamer.Frame) { f.Attempt, f.Text = 9, "late " })
 			return [][]byte{late, w[0], w[1], w[2], w[3]}
 		}},
-		{"out of order", streamer.CauseGap, 0, func(_ *streamer.Generate, w [][]byte) [][]byte {
+		{"out of order", streamer.CauseGap, 0, func(_ *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], w[2], w[1], w[3]}
 		}},
-		{"missing", streamer.CauseGap, 0, func(_ *streamer.Generate, w [][]byte) [][]byte {
+		{"missing", streamer.CauseGap, 0, func(_ *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], w[1], w[3]}
 		}},
-		{"a layer skipped", streamer.CauseLayers, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
+		{"a layer skipped", streamer.CauseLayers, 0, func(g *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Spans[1].First++ })}
 		}},
-		{"a layer twice", streamer.CauseLayers, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
+		{"a layer twice", streamer.CauseLayers, 0, func(g *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Spans[1].First-- })}
 		}},
-		{"stages swapped", streamer.CauseLayers, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
+		{"stages swapped", streamer.CauseLayers, 0, func(g *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Spans[0], f.Spans[1] = f.Spans[1], f.Spans[0] })}
 		}},
-		{"no layers", streamer.CauseLayers, 0, func(g *streamer.Generate, _ [][]byte) [][]byte {
+		{"no layers", streamer.CauseLayers, 0, func(g *streamer.GenerateRequest, _ [][]byte) [][]byte {
 			return [][]byte{encodeFrame(g, 0, func(f *streamer.Frame) { f.Spans = nil })}
 		}},
-		{"no JSON", streamer.CauseBroken, 0, func(*streamer.Generate, [][]byte) [][]byte {
+		{"no JSON", streamer.CauseBroken, 0, func(*streamer.GenerateRequest, [][]byte) [][]byte {
 			return [][]byte{[]byte("{\"index\":\n")}
 		}},
-		{"a stage down", streamer.CauseStage, 0, func(g *streamer.Generate, w [][]byte) [][]byte {
+		{"a stage down", streamer.CauseStage, 0, func(g *streamer.GenerateRequest, w [][]byte) [][]byte {
 			return [][]byte{w[0], encodeFrame(g, 1, func(f *streamer.Frame) { f.Error = &streamer.EngineError{Kind: streamer.KindDown, Upstream: "b"} })}
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got, res, route, s := runJob(t, func(g *streamer.Generate, whole [][]byte) []byte {
+			got, res, route, s := runJob(t, func(g *streamer.GenerateRequest, whole [][]byte) []byte {
 				if g.Attempt == 1 {
 					whole = row.first(g, whole)
 				}
