--- a/faker/generate.go
+++ b/faker/generate.go
@@ -178,7 +178,7 @@
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	g := new(streamer.GenerateRequest)
-	if err := json.NewDecoder(r.Body).Decode(g); err != nil || g.Check() != nil {
+	if err := json.NewDecoder(r.Body).Decode(g); err != nil || g.Validate() != nil {
 		refuse(w, http.StatusBadRequest, &streamer.EngineError{Kind: streamer.KindInvalid, NotRun: true})
 		return
 	}
--- a/streamer/messages.go
+++ b/streamer/messages.go
@@ -39,8 +39,8 @@
 	Route []Stage `json:"route"`
 }
 
-// Check returns an error that names the first invalid field, or nil.
-func (g *GenerateRequest) Check() error {
+// Validate returns an error that names the first invalid field, or nil.
+func (g *GenerateRequest) Validate() error {
 	switch {
 	case g.RequestID == "":
 		return errors.New("requestId is empty")
