--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -98,9 +98,9 @@
 	// Retry returns nil when another attempt is allowed after the failure. An error ends the
 	// job.
 	Retry(job *Job, failure *Failure) error
-	// Doubt probes the stages of a silent route and returns one that does not respond; empty
+	// FindUnresponsive probes the stages of a silent route and returns one that does not respond; empty
 	// means that all do.
-	Doubt(ctx context.Context, stages []Stage) string
+	FindUnresponsive(ctx context.Context, stages []Stage) string
 	// Gap records the time between two tokens of a stream.
 	Gap(job *Job, now time.Time, d time.Duration)
 	// Report records an upstream's load.
@@ -183,7 +183,7 @@
 	wd := &watchdog{
 		cancel:       cancel,
 		silenceLimit: max(r.StallFloor, 2*gap),
-		probe:        func() string { return r.Router.Doubt(ctx, stages) },
+		probe:        func() string { return r.Router.FindUnresponsive(ctx, stages) },
 	}
 	wd.arm()
 	defer wd.disarm()
