--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -101,8 +101,8 @@
 	// FindUnresponsive probes the stages of a silent route and returns one that does not respond; empty
 	// means that all do.
 	FindUnresponsive(ctx context.Context, stages []Stage) string
-	// Gap records the time between two tokens of a stream.
-	Gap(job *Job, now time.Time, d time.Duration)
+	// RecordTokenGap records the time between two tokens of a stream.
+	RecordTokenGap(job *Job, now time.Time, d time.Duration)
 	// Report records an upstream's load.
 	Report(upstream string, load tracker.Load)
 }
@@ -276,7 +276,7 @@
 	}
 	now := time.Now()
 	if !r.last.IsZero() {
-		r.Router.Gap(r.job, now, now.Sub(r.last))
+		r.Router.RecordTokenGap(r.job, now, now.Sub(r.last))
 	}
 	r.last = now
 	r.delivered = append(r.delivered, f.Text)
