--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -103,8 +103,8 @@
 	FindUnresponsive(ctx context.Context, stages []Stage) string
 	// RecordTokenGap records the time between two tokens of a stream.
 	RecordTokenGap(job *Job, now time.Time, d time.Duration)
-	// Report records an upstream's load.
-	Report(upstream string, load tracker.Load)
+	// RecordLoad records an upstream's load.
+	RecordLoad(upstream string, load tracker.Load)
 }
 
 // Result describes how a job ended.
@@ -239,7 +239,7 @@
 // attempt failed for the cause that it sets in failure.
 func (r *run) accept(f *Frame, stages []Stage, more func() bool, failure *Failure) (done, failed bool) {
 	for _, l := range f.Loads {
-		r.Router.Report(l.Upstream, l.Load)
+		r.Router.RecordLoad(l.Upstream, l.Load)
 	}
 	// An engine may send late frames of an earlier attempt, or mix two streams in its buffers.
 	// Unless request, attempt and index are checked, a caller gets a token twice or one of
