--- a/router/router.go
+++ b/router/router.go
@@ -142,7 +142,7 @@
 func (r *Router) tryAcquire(job *streamer.Job) (picker.Route, bool) {
 	req := r.request(job)
 	route := r.Tracker.Acquire(time.Now(), req)
-	if route == nil && job.Soft {
+	if route == nil && job.AllowAvoided {
 		req.Avoid = nil
 		route = r.Tracker.Acquire(time.Now(), req)
 	}
@@ -278,7 +278,7 @@
 		return refusal
 	}
 	r.Meter.Retries.WithLabelValues(f.Cause.String()).Inc()
-	job.Soft = f.Cause == streamer.CauseStall && f.Upstream == ""
+	job.AllowAvoided = f.Cause == streamer.CauseStall && f.Upstream == ""
 	if f.Upstream != "" {
 		job.Avoid = append(job.Avoid, f.Upstream)
 	} else {
--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -73,8 +73,8 @@
 	Prefix uint64
 	// Avoid lists the upstreams that failed this job; the Router maintains it.
 	Avoid []string
-	// Soft allows upstreams in Avoid when no other one has capacity.
-	Soft bool
+	// AllowAvoided allows upstreams in Avoid when no other one has capacity.
+	AllowAvoided bool
 }
 
 // Failure describes why one attempt failed.
