--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -191,7 +191,7 @@
 	}
 	return &entryHost{
 		router: r, tracker: track,
-		streamer: &streamer.Streamer{Engine: x.fleet, Router: r, Checker: check, StallFloor: 100 * time.Millisecond},
+		streamer: &streamer.Streamer{Engine: x.fleet, Router: r, Checker: check, MinStallTimeout: 100 * time.Millisecond},
 	}
 }
 
--- a/runner/build.go
+++ b/runner/build.go
@@ -145,11 +145,11 @@
 		Checker:    h.Checker,
 	}
 	h.stream = &streamer.Streamer{
-		Engine:     &streamer.Client{HTTP: &http.Client{Transport: h.conns}},
-		Router:     h.route,
-		Checker:    h.Checker,
-		Log:        h.Log,
-		StallFloor: ms(h.Settings.Timing.StallFloorMs),
+		Engine:          &streamer.Client{HTTP: &http.Client{Transport: h.conns}},
+		Router:          h.route,
+		Checker:         h.Checker,
+		Log:             h.Log,
+		MinStallTimeout: ms(h.Settings.Timing.StallFloorMs),
 	}
 	h.dedup = &deduplicator.Deduplicator{
 		Store:         h.store,
--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -127,8 +127,8 @@
 	Router  Router
 	Checker *checker.Checker
 	Log     zerolog.Logger
-	// StallFloor is the shortest silence after which the stages are probed.
-	StallFloor time.Duration
+	// MinStallTimeout is the shortest silence after which the stages are probed.
+	MinStallTimeout time.Duration
 	// Dropped counts frames that were ignored because they belong to another request or attempt,
 	// or repeat a token.
 	Dropped atomic.Int64
@@ -182,7 +182,7 @@
 	defer cancel()
 	wd := &watchdog{
 		cancel:       cancel,
-		silenceLimit: max(r.StallFloor, 2*gap),
+		silenceLimit: max(r.MinStallTimeout, 2*gap),
 		probe:        func() string { return r.Router.FindUnresponsive(ctx, stages) },
 	}
 	wd.arm()
--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -96,10 +96,10 @@
 	t.Helper()
 	route := new(fixedRouter)
 	s := &streamer.Streamer{
-		Engine:     &streamer.Client{HTTP: &http.Client{Transport: e}},
-		Router:     route,
-		Checker:    &checker.Checker{Fail: func(v checker.Violation) { t.Error(v) }},
-		StallFloor: time.Hour,
+		Engine:          &streamer.Client{HTTP: &http.Client{Transport: e}},
+		Router:          route,
+		Checker:         &checker.Checker{Fail: func(v checker.Violation) { t.Error(v) }},
+		MinStallTimeout: time.Hour,
 	}
 	job := &streamer.Job{ID: "r1", Layers: layers, Prompt: prompt, MaxTokens: tokens, Deadline: time.Now().Add(time.Hour)}
 	var got strings.Builder
