--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -129,9 +129,9 @@
 	Log     zerolog.Logger
 	// MinStallTimeout is the shortest silence after which the stages are probed.
 	MinStallTimeout time.Duration
-	// Dropped counts frames that were ignored because they belong to another request or attempt,
+	// DroppedFrames counts frames that were ignored because they belong to another request or attempt,
 	// or repeat a token.
-	Dropped atomic.Int64
+	DroppedFrames atomic.Int64
 	// Relayed counts the delivered tokens.
 	Relayed atomic.Int64
 }
@@ -245,7 +245,7 @@
 	// Unless request, attempt and index are checked, a caller gets a token twice or one of
 	// another caller.
 	if f.RequestID != r.job.ID || f.Attempt != r.result.Attempts || f.Index < r.result.Tokens {
-		r.Dropped.Add(1)
+		r.DroppedFrames.Add(1)
 		return false, false
 	}
 	if f.Error != nil {
--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -190,7 +190,7 @@
 			})
 			assertComplete(t, got, res)
 			is := is.New(t)
-			is.Equal(s.Dropped.Load(), row.dropped)
+			is.Equal(s.DroppedFrames.Load(), row.dropped)
 			if row.cause == streamer.CauseNone {
 				is.Equal(len(route.failures), 0)
 				return
