--- a/runner/build.go
+++ b/runner/build.go
@@ -244,7 +244,7 @@
 	})
 	h.meter.CounterFunc("platform_calls_total", "Calls on the platform.", func() float64 { return float64(h.store.Calls()) })
 	h.meter.CounterFunc("control_bytes_total", "Bytes to and from other hosts.", func() float64 { return float64(h.control.Load()) })
-	h.meter.CounterFunc("tokens_total", "Tokens relayed to callers.", func() float64 { return float64(h.stream.Relayed.Load()) })
+	h.meter.CounterFunc("tokens_total", "Tokens relayed to callers.", func() float64 { return float64(h.stream.RelayedTokens.Load()) })
 	h.meter.CounterFunc("frames_dropped_total", "Frames of another attempt or index.", func() float64 { return float64(h.stream.DroppedFrames.Load()) })
 	h.meter.CounterFunc("orders_total", "Orders given to engines.", func() float64 { return float64(h.plan.Orders.Load()) })
 	h.meter.CounterFunc("orders_fenced_total", "Orders refused for an old fencing number.", func() float64 { return float64(h.plan.FencedOrders.Load()) })
--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -132,8 +132,8 @@
 	// DroppedFrames counts frames that were ignored because they belong to another request or attempt,
 	// or repeat a token.
 	DroppedFrames atomic.Int64
-	// Relayed counts the delivered tokens.
-	Relayed atomic.Int64
+	// RelayedTokens counts the delivered tokens.
+	RelayedTokens atomic.Int64
 }
 
 // Run streams a job. It calls emit with each token in order and with whether another one is
@@ -281,7 +281,7 @@
 	r.last = now
 	r.delivered = append(r.delivered, f.Text)
 	r.result.Tokens++
-	r.Relayed.Add(1)
+	r.RelayedTokens.Add(1)
 	if f.Finish == "" {
 		return false, false
 	}
