--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -116,8 +116,8 @@
 	Attempts int
 	// Started is false when certainly no upstream ran the request in any attempt.
 	Started bool
-	// Last is the failure of the last attempt; nil after a complete answer.
-	Last *Failure
+	// LastFailure is the failure of the last attempt; nil after a complete answer.
+	LastFailure *Failure
 }
 
 // Streamer runs jobs. It is safe for concurrent use; the fields up to StallFloor are set before
@@ -151,7 +151,7 @@
 		}
 		failure := r.attempt(ctx, stages, gap)
 		s.Router.Release(job, stages, failure)
-		r.result.Last = failure
+		r.result.LastFailure = failure
 		if failure == nil {
 			return r.result, nil
 		}
