--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -111,8 +111,8 @@
 // Admitter grants slots of type T, such as a route, and queues the requests for which there is
 // none. It is safe for concurrent use; Queued is set before use.
 type Admitter[T any] struct {
-	// Queued is the maximum number of waiting requests over all groups.
-	Queued int
+	// MaxQueued is the maximum number of waiting requests over all groups.
+	MaxQueued int
 
 	mu     sync.Mutex
 	groups map[string]*group[T]
@@ -189,7 +189,7 @@
 			return nil, slot, nil
 		}
 	}
-	if a.waitingTotal >= a.Queued {
+	if a.waitingTotal >= a.MaxQueued {
 		return nil, none, &Refusal{Reason: ReasonQueueFull, NotRun: true, RetryAfter: g.waitFor(len(g.waiting))}
 	}
 	index := g.position(w)
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -29,7 +29,7 @@
 // requests of workspaces that were served less.
 func TestPriorityAndFairness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &Admitter[int]{Queued: 100}
+		a := &Admitter[int]{MaxQueued: 100}
 		r := new(slots)
 		var got []string
 		enter := func(name, workspace string, priority int) {
@@ -63,7 +63,7 @@
 // grants one slot a second can't reach it before. The refusal must come at once, with RetryAfter.
 func TestRefusalWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &Admitter[int]{Queued: 100}
+		a := &Admitter[int]{MaxQueued: 100}
 		r := &slots{free: 20}
 		ask := func(patience time.Duration) (time.Duration, *Refusal) {
 			start := time.Now()
@@ -95,7 +95,7 @@
 // waited. The next one must get it.
 func TestCanceledWaiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &Admitter[int]{Queued: 100}
+		a := &Admitter[int]{MaxQueued: 100}
 		r := new(slots)
 		ctx, cancel := context.WithCancel(context.Background())
 		tk := Ticket{Group: "g", Deadline: time.Now().Add(time.Hour)}
@@ -124,7 +124,7 @@
 // disconnected, when the context's deadline passes just before the queue's own timer.
 func TestContextDeadlineReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &Admitter[int]{Queued: 100}
+		a := &Admitter[int]{MaxQueued: 100}
 		deadline := time.Now().Add(time.Second)
 		ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(-time.Millisecond))
 		defer cancel()
--- a/runner/build.go
+++ b/runner/build.go
@@ -131,7 +131,7 @@
 	}
 	h.track.Configure(&builder.Configuration{})
 	h.susp = &tracker.Suspects{WentDown: h.track.WentDown}
-	h.admit = &admitter.Admitter[picker.Route]{Queued: h.Settings.Limits.Queued}
+	h.admit = &admitter.Admitter[picker.Route]{MaxQueued: h.Settings.Limits.Queued}
 	h.limits = new(admitter.Limits)
 	h.route = &router.Router{
 		DataCentre: h.Settings.DataCentre,
