--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -104,8 +104,8 @@
 	Cost float64
 	// Deadline is when the answer must be complete.
 	Deadline time.Time
-	// Service is the expected time from start to the complete answer.
-	Service time.Duration
+	// ServiceTime is the expected time from start to the complete answer.
+	ServiceTime time.Duration
 }
 
 // Admitter grants slots of type T, such as a route, and queues the requests for which there is
@@ -150,7 +150,7 @@
 	if w == nil {
 		return slot, refusal
 	}
-	timer := time.NewTimer(tk.Deadline.Add(-tk.Service).Sub(now))
+	timer := time.NewTimer(tk.Deadline.Add(-tk.ServiceTime).Sub(now))
 	defer timer.Stop()
 	select {
 	case slot = <-w.slot:
@@ -193,7 +193,7 @@
 		return nil, none, &Refusal{Reason: ReasonQueueFull, NotRun: true, RetryAfter: g.waitFor(len(g.waiting))}
 	}
 	index := g.position(w)
-	if wait := g.waitFor(index); now.Add(wait + tk.Service).After(tk.Deadline) {
+	if wait := g.waitFor(index); now.Add(wait + tk.ServiceTime).After(tk.Deadline) {
 		return nil, none, &Refusal{Reason: ReasonDeadline, NotRun: true, RetryAfter: max(wait, time.Second), Detail: "expected wait is past the deadline"}
 	}
 	g.waiting = append(g.waiting, nil)
--- a/router/router.go
+++ b/router/router.go
@@ -93,16 +93,16 @@
 	}
 	now := time.Now()
 	tk := admitter.Ticket{
-		Workspace: job.Workspace,
-		Group:     job.Pipeline,
-		Priority:  job.Priority,
-		Cost:      float64(job.MaxTokens),
-		Deadline:  job.Deadline,
-		Service:   r.expectedServiceTime(job),
+		Workspace:   job.Workspace,
+		Group:       job.Pipeline,
+		Priority:    job.Priority,
+		Cost:        float64(job.MaxTokens),
+		Deadline:    job.Deadline,
+		ServiceTime: r.expectedServiceTime(job),
 	}
 	if attempt > 1 {
 		tk.Priority = retryPriority
-		tk.Service = 0
+		tk.ServiceTime = 0
 	}
 	route, refusal := r.Admitter.Acquire(ctx, now, tk, func() (picker.Route, bool) { return r.tryAcquire(job) })
 	if refusal != nil {
