--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -357,9 +357,9 @@
 	return a.arrivedAt.Before(b.arrivedAt)
 }
 
-// Budget limits retries to a fraction of the successful requests, so that a failing upstream can't
+// RetryBudget limits retries to a fraction of the successful requests, so that a failing upstream can't
 // multiply the load on the others. Earn and Spend are safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	// Ratio is the number of retries that each success earns.
 	Ratio float64
 	// Burst is the maximum number of saved retries; the budget starts with this many.
@@ -370,14 +370,14 @@
 }
 
 // Earn records a success.
-func (b *Budget) Earn() {
+func (b *RetryBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-b.Ratio)
 }
 
 // Spend takes one retry, and returns false when there is none.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent+1 > b.Burst {
--- a/router/router.go
+++ b/router/router.go
@@ -54,7 +54,7 @@
 	Suspects   *tracker.Suspects
 	Admitter   *admitter.Admitter[picker.Route]
 	Limits     *admitter.Limits
-	Budget     *admitter.Budget
+	Budget     *admitter.RetryBudget
 	Announcer  Announcer
 	Meter      *meter.Meter
 	Checker    *checker.Checker
--- a/runner/build.go
+++ b/runner/build.go
@@ -139,7 +139,7 @@
 		Suspects:   h.susp,
 		Admitter:   h.admit,
 		Limits:     h.limits,
-		Budget:     &admitter.Budget{Ratio: retryRatio, Burst: retryBurst},
+		Budget:     &admitter.RetryBudget{Ratio: retryRatio, Burst: retryBurst},
 		Announcer:  news{h},
 		Meter:      h.meter,
 		Checker:    h.Checker,
