--- a/admitter/window.go
+++ b/admitter/window.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Window is a retry budget over a sliding window: all hosts together may make a fraction of the
+// WindowRetryBudget is a retry budget over a sliding window: all hosts together may make a fraction of the
 // requests in the window as retries, plus a fixed number. It needs no messages between hosts: each
 // one keeps to the ratio of its own requests and to its share of the fixed number, so that the
 // total is kept. It is safe for concurrent use; the exported fields are set before use.
-type Window struct {
+type WindowRetryBudget struct {
 	// Ratio is the number of retries that each request allows.
 	Ratio float64
 	// Length is the length of the window, in whole seconds.
@@ -34,7 +34,7 @@
 const safetyFactor = 0.7
 
 // Request counts one request of a caller, which is not a retry.
-func (b *Window) Request(now time.Duration) {
+func (b *WindowRetryBudget) Request(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
@@ -42,7 +42,7 @@
 }
 
 // Spend takes one retry, and returns false when there is none.
-func (b *Window) Spend(now time.Duration) bool {
+func (b *WindowRetryBudget) Spend(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
@@ -69,7 +69,7 @@
 }
 
 // advance moves the window to now and drops the seconds that left it.
-func (b *Window) advance(now time.Duration) {
+func (b *WindowRetryBudget) advance(now time.Duration) {
 	n := int(b.Length/time.Second) + 1
 	s := int64(now / time.Second)
 	if b.seconds == nil || s-b.lastSecond >= int64(n) {
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -20,9 +20,9 @@
 		hosts        = 4
 	)
 	is := is.New(t)
-	var all [hosts]admitter.Window
+	var all [hosts]admitter.WindowRetryBudget
 	for i := range all {
-		all[i] = admitter.Window{Ratio: ratio, Length: 10 * time.Second, Fixed: fixed, Hosts: func() int { return hosts }}
+		all[i] = admitter.WindowRetryBudget{Ratio: ratio, Length: 10 * time.Second, Fixed: fixed, Hosts: func() int { return hosts }}
 	}
 	var sent []int // retries in each tenth of a second
 	for n := range 400 {
@@ -163,11 +163,11 @@
 // share of the retries, among hundreds of hosts, is below one.
 func TestWindowManyHosts(t *testing.T) {
 	is := is.New(t)
-	w := admitter.Window{Ratio: 0.2, Length: 10 * time.Second, Fixed: 310, Hosts: func() int { return 300 }}
+	w := admitter.WindowRetryBudget{Ratio: 0.2, Length: 10 * time.Second, Fixed: 310, Hosts: func() int { return 300 }}
 	w.Request(time.Second)
 	is.True(w.Spend(time.Second))
 	is.True(!w.Spend(time.Second))
-	few := admitter.Window{Ratio: 0.2, Length: 10 * time.Second, Fixed: 299, Hosts: func() int { return 300 }}
+	few := admitter.WindowRetryBudget{Ratio: 0.2, Length: 10 * time.Second, Fixed: 299, Hosts: func() int { return 300 }}
 	few.Request(time.Second)
 	is.True(!few.Spend(time.Second)) // 300 hosts with one retry each would exceed the 299 allowed
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -63,7 +63,7 @@
 	Engines  Engines
 	Headers  Headers
 	// RetryBudget returns the retry budget of a service.
-	RetryBudget func(service string) *admitter.Window
+	RetryBudget func(service string) *admitter.WindowRetryBudget
 	// StreamLimiter returns the limit on a service's streams in flight.
 	StreamLimiter func(service string) *admitter.Latency
 	// Suspects records which requests were in flight when upstreams crashed.
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -98,7 +98,7 @@
 	mu       sync.Mutex
 	servers  []*http.Server
 
-	budgets   named[admitter.Window]
+	budgets   named[admitter.WindowRetryBudget]
 	latencies named[admitter.Latency]
 }
 
@@ -340,8 +340,8 @@
 }
 
 // newBudget makes the retry budget of a service.
-func (h *Host) newBudget() *admitter.Window {
-	return &admitter.Window{
+func (h *Host) newBudget() *admitter.WindowRetryBudget {
+	return &admitter.WindowRetryBudget{
 		Ratio:  h.Settings.RetryRatio,
 		Length: time.Duration(h.Settings.RetryWindowS) * time.Second,
 		Fixed:  h.Settings.RetryFixed,
