--- a/admitter/latency.go
+++ b/admitter/latency.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Latency is an adaptive limit on the streams that a host has in flight, which keeps their events
+// StreamLimiter is an adaptive limit on the streams that a host has in flight, which keeps their events
 // in time.
 //
 // Beyond the engines' capacity each further stream slows every batch, until no answer is in time.
 // The limit decreases while streams are late, and increases while they are in time and it is
 // reached. It is safe for concurrent use; the zero value is ready to use.
-type Latency struct {
+type StreamLimiter struct {
 	mu sync.Mutex
 	// limit is the maximum in flight; 0 before the first call of Enter.
 	limit    float64
@@ -69,7 +69,7 @@
 
 // Enter admits a stream, and returns false when the limit is reached. Each admitted stream must
 // Leave.
-func (l *Latency) Enter() bool {
+func (l *StreamLimiter) Enter() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit == 0 {
@@ -84,7 +84,7 @@
 }
 
 // Leave ends an admitted stream.
-func (l *Latency) Leave() {
+func (l *StreamLimiter) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
@@ -92,7 +92,7 @@
 
 // Sample records whether a stream was late: its first event, or a pause between two events, took
 // longer than callers expect.
-func (l *Latency) Sample(now time.Duration, late bool) {
+func (l *StreamLimiter) Sample(now time.Duration, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sample := 0.0
@@ -119,7 +119,7 @@
 }
 
 // Limit returns the maximum number of streams in flight.
-func (l *Latency) Limit() float64 {
+func (l *StreamLimiter) Limit() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limit
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -56,7 +56,7 @@
 func TestLatencyLimit(t *testing.T) {
 	is := is.New(t)
 	const capacity = 60 // streams are in time while at most this many are in flight
-	l := new(admitter.Latency)
+	l := new(admitter.StreamLimiter)
 	type stream struct{ ends time.Duration }
 	var open []stream
 	late, done, refused := 0, 0, 0
@@ -107,9 +107,9 @@
 			const lifetime, seconds = 3 * time.Second, 20
 			hosts, arrivals := size.hosts, time.Duration(size.arrivals) // arrivals a second over all hosts
 			usual := float64(arrivals) * lifetime.Seconds()
-			limits := make([]*admitter.Latency, hosts)
+			limits := make([]*admitter.StreamLimiter, hosts)
 			for i := range limits {
-				limits[i] = new(admitter.Latency)
+				limits[i] = new(admitter.StreamLimiter)
 			}
 			type stream struct {
 				host int
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -19,7 +19,7 @@
 type simulation struct {
 	hosts []*balancer.Balancer
 	// admission limits each host's streams in flight.
-	admission [2]admitter.Latency
+	admission [2]admitter.StreamLimiter
 	// pipeBusyUntil is when the pipe has carried all prompts that were sent over it.
 	pipeBusyUntil time.Duration
 	running       []*stream
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -65,7 +65,7 @@
 	// RetryBudget returns the retry budget of a service.
 	RetryBudget func(service string) *admitter.WindowRetryBudget
 	// StreamLimiter returns the limit on a service's streams in flight.
-	StreamLimiter func(service string) *admitter.Latency
+	StreamLimiter func(service string) *admitter.StreamLimiter
 	// Suspects records which requests were in flight when upstreams crashed.
 	Suspects *tracker.Suspects
 	// LimitsKnown reports whether this host has learned which upstreams announce a request
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -99,7 +99,7 @@
 	servers  []*http.Server
 
 	budgets   named[admitter.WindowRetryBudget]
-	latencies named[admitter.Latency]
+	latencies named[admitter.StreamLimiter]
 }
 
 // Run answers until ctx ends, then stops gracefully.
