--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -160,9 +160,9 @@
 func simulateShares(demands []float64, limit float64) float64 {
 	const step = 10 * time.Millisecond
 	now := time.Unix(0, 0)
-	hosts := make([]*Limits, len(demands))
+	hosts := make([]*RateLimiter, len(demands))
 	for i := range hosts {
-		hosts[i] = new(Limits)
+		hosts[i] = new(RateLimiter)
 		hosts[i].Configure(now, len(hosts), []builder.Workspace{{Name: "w", RequestsPerSecond: limit}})
 	}
 	owed := make([]float64, len(demands))
@@ -184,7 +184,7 @@
 }
 
 // exchangeShares gives every host the mean demand, as gossip does.
-func exchangeShares(now time.Time, hosts []*Limits) {
+func exchangeShares(now time.Time, hosts []*RateLimiter) {
 	var mean float32
 	var list uint32
 	for _, h := range hosts {
--- a/admitter/limits.go
+++ b/admitter/limits.go
@@ -15,10 +15,10 @@
 // workspace on a host needn't wait until the other hosts know of them.
 const minShare = 0.1
 
-// Limits enforces each workspace's request rate over all hosts without a shared store: each host
+// RateLimiter enforces each workspace's request rate over all hosts without a shared store: each host
 // takes the share of the limit that its own demand has in the total demand. It is safe for
 // concurrent use.
-type Limits struct {
+type RateLimiter struct {
 	mu sync.Mutex
 	// namesHash identifies the workspaces and their order; demands of other hosts are used only
 	// under the same hash.
@@ -45,7 +45,7 @@
 
 // Configure sets the workspaces and their limits; one without a limit is not limited. A known
 // workspace keeps its share until the next call of Share.
-func (l *Limits) Configure(now time.Time, hosts int, workspaces []builder.Workspace) {
+func (l *RateLimiter) Configure(now time.Time, hosts int, workspaces []builder.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old := l.byName
@@ -72,7 +72,7 @@
 
 // Allow reports whether a request of a workspace may run now. If not, it returns the time after
 // which a retry can succeed.
-func (l *Limits) Allow(now time.Time, workspace string) (time.Duration, bool) {
+func (l *RateLimiter) Allow(now time.Time, workspace string) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.byName[workspace]
@@ -91,7 +91,7 @@
 
 // Measure updates the smoothed demands with the requests since the last call. It returns the
 // demands in requests a second, and the hash of the workspace names that they are ordered by.
-func (l *Limits) Measure(now time.Time) (namesHash uint32, demands []float32) {
+func (l *RateLimiter) Measure(now time.Time) (namesHash uint32, demands []float32) {
 	const smoothingSeconds = 3.0
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 
 // Share sets this host's share of each limit: an even share times the ratio of its demand to the
 // mean demand of all hosts. meanDemands is nil when the demands of other hosts are not known.
-func (l *Limits) Share(now time.Time, hosts int, namesHash uint32, meanDemands []float32) {
+func (l *RateLimiter) Share(now time.Time, hosts int, namesHash uint32, meanDemands []float32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hostCount := float64(max(1, hosts))
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -185,7 +185,7 @@
 	check := &checker.Checker{Fail: func(v checker.Violation) { t.Error(v) }}
 	r := &router.Router{
 		DataCentre: string("abc"[i%3]), Tracker: track, Suspects: new(tracker.Suspects),
-		Admitter: &admitter.Admitter[picker.Route]{MaxQueued: 1 << 20}, Limits: new(admitter.Limits),
+		Admitter: &admitter.Admitter[picker.Route]{MaxQueued: 1 << 20}, Limits: new(admitter.RateLimiter),
 		Budget: &admitter.RetryBudget{Ratio: 0.1, Burst: 20}, Announcer: probeOnlyAnnouncer{t, track, x.fleet},
 		Meter: meter.New(nil, nil), Checker: check,
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -53,7 +53,7 @@
 	Tracker    *tracker.Tracker
 	Suspects   *tracker.Suspects
 	Admitter   *admitter.Admitter[picker.Route]
-	Limits     *admitter.Limits
+	Limits     *admitter.RateLimiter
 	Budget     *admitter.RetryBudget
 	Announcer  Announcer
 	Meter      *meter.Meter
--- a/runner/build.go
+++ b/runner/build.go
@@ -132,7 +132,7 @@
 	h.track.Configure(&builder.Configuration{})
 	h.susp = &tracker.Suspects{WentDown: h.track.WentDown}
 	h.admit = &admitter.Admitter[picker.Route]{MaxQueued: h.Settings.Limits.Queued}
-	h.limits = new(admitter.Limits)
+	h.limits = new(admitter.RateLimiter)
 	h.route = &router.Router{
 		DataCentre: h.Settings.DataCentre,
 		Tracker:    h.track,
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -69,7 +69,7 @@
 	track   *tracker.Tracker
 	susp    *tracker.Suspects
 	admit   *admitter.Admitter[picker.Route]
-	limits  *admitter.Limits
+	limits  *admitter.RateLimiter
 	route   *router.Router
 	stream  *streamer.Streamer
 	dedup   *deduplicator.Deduplicator
