--- a/admitter/latency.go
+++ b/admitter/latency.go
@@ -67,9 +67,9 @@
 	initialLimit = 1e6
 )
 
-// Enter admits a stream, and returns false when the limit is reached. Each admitted stream must
+// TryAcquire admits a stream, and returns false when the limit is reached. Each admitted stream must
 // Leave.
-func (l *StreamLimiter) Enter() bool {
+func (l *StreamLimiter) TryAcquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit == 0 {
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -79,7 +79,7 @@
 				l.Sample(now, slow)
 			}
 			open = kept
-			if l.Enter() {
+			if l.TryAcquire() {
 				open = append(open, stream{now + 2*time.Second + time.Duration(len(open))*10*time.Millisecond})
 			} else {
 				refused++
@@ -137,7 +137,7 @@
 					}
 					open = kept
 					i := rnd.IntN(hosts)
-					if limits[i].Enter() {
+					if limits[i].TryAcquire() {
 						open = append(open, stream{i, now + lifetime/2 + time.Duration(rnd.Float64()*float64(lifetime))})
 					} else {
 						refused++
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -77,7 +77,7 @@
 // arrive has one request arrive at a host.
 func (s *simulation) arrive(now time.Duration, host int) {
 	b, bound := s.hosts[host], &s.admission[host]
-	if !bound.Enter() {
+	if !bound.TryAcquire() {
 		return
 	}
 	l, _ := b.Acquire(now, modelNeed)
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -64,7 +64,7 @@
 // serveStream serves a streaming request, over further attempts where one is interrupted.
 func (k *call) serveStream(ctx context.Context) {
 	limit := k.StreamLimiter(k.service.Name)
-	if !limit.Enter() {
+	if !limit.TryAcquire() {
 		k.refuse(admitter.ReasonQueueFull, "first events come late")
 		return
 	}
