--- a/admitter/latency.go
+++ b/admitter/latency.go
@@ -83,8 +83,8 @@
 	return admitted
 }
 
-// Leave ends an admitted stream.
-func (l *StreamLimiter) Leave() {
+// Release ends an admitted stream.
+func (l *StreamLimiter) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -70,7 +70,7 @@
 					kept = append(kept, s)
 					continue
 				}
-				l.Leave()
+				l.Release()
 				done++
 				slow := len(open) > capacity
 				if slow {
@@ -127,7 +127,7 @@
 							kept = append(kept, s)
 							continue
 						}
-						limits[s.host].Leave()
+						limits[s.host].Release()
 						done++
 						slow := float64(len(open)) > capacity
 						if slow {
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -82,7 +82,7 @@
 	}
 	l, _ := b.Acquire(now, modelNeed)
 	if l == nil {
-		bound.Leave()
+		bound.Release()
 		return
 	}
 	r := &stream{host: host, lease: l, ends: now + streamLife, crosses: b.CrossesDataCentres(l)}
@@ -106,7 +106,7 @@
 			continue
 		}
 		s.hosts[r.host].Release(r.lease)
-		s.admission[r.host].Leave()
+		s.admission[r.host].Release()
 		if !r.late {
 			s.admission[r.host].Sample(now, false)
 			s.inTime++
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -68,7 +68,7 @@
 		k.refuse(admitter.ReasonQueueFull, "first events come late")
 		return
 	}
-	defer limit.Leave()
+	defer limit.Release()
 	k.lastEventID = parseEventID(k.r.Header.Get("Last-Event-Id"))
 	resumptions := 0
 	for {
