--- a/admitter/latency.go
+++ b/admitter/latency.go
@@ -90,9 +90,9 @@
 	l.inFlight--
 }
 
-// Sample records whether a stream was late: its first event, or a pause between two events, took
+// Observe records whether a stream was late: its first event, or a pause between two events, took
 // longer than callers expect.
-func (l *StreamLimiter) Sample(now time.Duration, late bool) {
+func (l *StreamLimiter) Observe(now time.Duration, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sample := 0.0
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -76,7 +76,7 @@
 				if slow {
 					late++
 				}
-				l.Sample(now, slow)
+				l.Observe(now, slow)
 			}
 			open = kept
 			if l.TryAcquire() {
@@ -133,7 +133,7 @@
 						if slow {
 							late++
 						}
-						limits[s.host].Sample(now, slow)
+						limits[s.host].Observe(now, slow)
 					}
 					open = kept
 					i := rnd.IntN(hosts)
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -99,7 +99,7 @@
 	for _, r := range s.running {
 		if !r.late && r.crosses && s.pipeBusyUntil-now > gapTarget {
 			r.late = true
-			s.admission[r.host].Sample(now, true)
+			s.admission[r.host].Observe(now, true)
 		}
 		if now < r.ends {
 			left = append(left, r)
@@ -108,7 +108,7 @@
 		s.hosts[r.host].Release(r.lease)
 		s.admission[r.host].Release()
 		if !r.late {
-			s.admission[r.host].Sample(now, false)
+			s.admission[r.host].Observe(now, false)
 			s.inTime++
 		}
 	}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -240,7 +240,7 @@
 // counts.
 func (k *call) sampleLatency(now time.Duration, late bool) {
 	if k.latencySampled.CompareAndSwap(false, true) {
-		k.StreamLimiter(k.service.Name).Sample(now, late)
+		k.StreamLimiter(k.service.Name).Observe(now, late)
 	}
 }
 
