--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -188,7 +188,7 @@
 	var mean float32
 	var list uint32
 	for _, h := range hosts {
-		l, own := h.Measure(now)
+		l, own := h.MeasureDemand(now)
 		list = l
 		mean += own[0] / float32(len(hosts))
 	}
--- a/admitter/limits.go
+++ b/admitter/limits.go
@@ -89,9 +89,9 @@
 	return wait, false
 }
 
-// Measure updates the smoothed demands with the requests since the last call. It returns the
+// MeasureDemand updates the smoothed demands with the requests since the last call. It returns the
 // demands in requests a second, and the hash of the workspace names that they are ordered by.
-func (l *RateLimiter) Measure(now time.Time) (namesHash uint32, demands []float32) {
+func (l *RateLimiter) MeasureDemand(now time.Time) (namesHash uint32, demands []float32) {
 	const smoothingSeconds = 3.0
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -224,7 +224,7 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		list, own := h.limits.Measure(now)
+		list, own := h.limits.MeasureDemand(now)
 		h.gossip.SetDemand(list, own)
 		h.limits.Share(now, len(h.gossip.Live()), list, h.gossip.Demand(list))
 		h.susp.Sweep(now)
