--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -193,6 +193,6 @@
 		mean += own[0] / float32(len(hosts))
 	}
 	for _, h := range hosts {
-		h.Share(now, len(hosts), list, []float32{mean})
+		h.SetShares(now, len(hosts), list, []float32{mean})
 	}
 }
--- a/admitter/limits.go
+++ b/admitter/limits.go
@@ -110,9 +110,9 @@
 	return l.namesHash, demands
 }
 
-// Share sets this host's share of each limit: an even share times the ratio of its demand to the
+// SetShares sets this host's share of each limit: an even share times the ratio of its demand to the
 // mean demand of all hosts. meanDemands is nil when the demands of other hosts are not known.
-func (l *RateLimiter) Share(now time.Time, hosts int, namesHash uint32, meanDemands []float32) {
+func (l *RateLimiter) SetShares(now time.Time, hosts int, namesHash uint32, meanDemands []float32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hostCount := float64(max(1, hosts))
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -226,7 +226,7 @@
 		now := time.Now()
 		list, own := h.limits.MeasureDemand(now)
 		h.gossip.SetDemand(list, own)
-		h.limits.Share(now, len(h.gossip.Live()), list, h.gossip.Demand(list))
+		h.limits.SetShares(now, len(h.gossip.Live()), list, h.gossip.Demand(list))
 		h.susp.Sweep(now)
 		h.admit.WakeAll(now)
 		const boundEvery = 5
