--- a/admitter/window.go
+++ b/admitter/window.go
@@ -33,8 +33,8 @@
 // retries that it made before, and the window slides in steps of whole seconds.
 const safetyFactor = 0.7
 
-// Request counts one request of a caller, which is not a retry.
-func (b *WindowRetryBudget) Request(now time.Duration) {
+// RecordRequest counts one request of a caller, which is not a retry.
+func (b *WindowRetryBudget) RecordRequest(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
--- a/admitter/window_test.go
+++ b/admitter/window_test.go
@@ -30,7 +30,7 @@
 		sent = append(sent, 0)
 		for i := range all {
 			for range perSecond / 10 {
-				all[i].Request(now)
+				all[i].RecordRequest(now)
 				for all[i].Spend(now) {
 					sent[n]++
 				}
@@ -164,10 +164,10 @@
 func TestWindowManyHosts(t *testing.T) {
 	is := is.New(t)
 	w := admitter.WindowRetryBudget{Ratio: 0.2, Length: 10 * time.Second, Fixed: 310, Hosts: func() int { return 300 }}
-	w.Request(time.Second)
+	w.RecordRequest(time.Second)
 	is.True(w.Spend(time.Second))
 	is.True(!w.Spend(time.Second))
 	few := admitter.WindowRetryBudget{Ratio: 0.2, Length: 10 * time.Second, Fixed: 299, Hosts: func() int { return 300 }}
-	few.Request(time.Second)
+	few.RecordRequest(time.Second)
 	is.True(!few.Spend(time.Second)) // 300 hosts with one retry each would exceed the 299 allowed
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -171,7 +171,7 @@
 	ctl.SetWriteDeadline(time.Now().Add(left + writeGrace))
 	ctx, cancel := context.WithTimeout(r.Context(), left)
 	defer cancel()
-	k.RetryBudget(k.service.Name).Request(f.Now())
+	k.RetryBudget(k.service.Name).RecordRequest(f.Now())
 	if k.route.Kind == matcher.KindStreaming {
 		k.serveStream(ctx)
 		return
