--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -40,7 +40,7 @@
 
 func (o *fixedRouter) Release(*streamer.Job, []streamer.Stage, *streamer.Failure) {}
 
-func (o *fixedRouter) Doubt(context.Context, []streamer.Stage) string { return "" }
+func (o *fixedRouter) FindUnresponsive(context.Context, []streamer.Stage) string { return "" }
 
 func (o *fixedRouter) Gap(*streamer.Job, time.Time, time.Duration) {}
 
