--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -42,7 +42,7 @@
 
 func (o *fixedRouter) FindUnresponsive(context.Context, []streamer.Stage) string { return "" }
 
-func (o *fixedRouter) Gap(*streamer.Job, time.Time, time.Duration) {}
+func (o *fixedRouter) RecordTokenGap(*streamer.Job, time.Time, time.Duration) {}
 
 func (o *fixedRouter) Report(string, tracker.Load) {}
 
