--- a/streamer/streamer_test.go
+++ b/streamer/streamer_test.go
@@ -44,7 +44,7 @@
 
 func (o *fixedRouter) RecordTokenGap(*streamer.Job, time.Time, time.Duration) {}
 
-func (o *fixedRouter) Report(string, tracker.Load) {}
+func (o *fixedRouter) RecordLoad(string, tracker.Load) {}
 
 var errNoRetries = errors.New("no retries left")
 
