--- a/router/router.go
+++ b/router/router.go
@@ -325,8 +325,8 @@
 	r.Tracker.RecordTokenGap(now, job.Pipeline, d)
 }
 
-// Doubt implements streamer.Router.
-func (r *Router) Doubt(ctx context.Context, stages []streamer.Stage) string {
+// FindUnresponsive implements streamer.Router.
+func (r *Router) FindUnresponsive(ctx context.Context, stages []streamer.Stage) string {
 	return r.Announcer.FindUnresponsive(ctx, upstreamsOf(stages))
 }
 
