--- a/router/router.go
+++ b/router/router.go
@@ -320,8 +320,8 @@
 	}
 }
 
-// Gap implements streamer.Router.
-func (r *Router) Gap(job *streamer.Job, now time.Time, d time.Duration) {
+// RecordTokenGap implements streamer.Router.
+func (r *Router) RecordTokenGap(job *streamer.Job, now time.Time, d time.Duration) {
 	r.Tracker.RecordTokenGap(now, job.Pipeline, d)
 }
 
