--- a/router/router.go
+++ b/router/router.go
@@ -330,8 +330,8 @@
 	return r.Announcer.FindUnresponsive(ctx, upstreamsOf(stages))
 }
 
-// Report implements streamer.Router.
-func (r *Router) Report(upstream string, load tracker.Load) {
+// RecordLoad implements streamer.Router.
+func (r *Router) RecordLoad(upstream string, load tracker.Load) {
 	if r.Tracker.RecordLoad(time.Now(), upstream, load) && load.Leaving {
 		r.Announcer.AnnounceLeaving(upstream, load.Incarnation)
 	}
