--- a/faker/stage.go
+++ b/faker/stage.go
@@ -246,5 +246,5 @@
 // Pace implements pacer.Engines.
 func (NoEngines) Pace(context.Context, string) (float64, error) { return 1, nil }
 
-// Stalled implements forwarder.Engines.
-func (NoEngines) Stalled(context.Context, string) ([]forwarder.Stall, error) { return nil, nil }
+// QueryStalls implements forwarder.Engines.
+func (NoEngines) QueryStalls(context.Context, string) ([]forwarder.Stall, error) { return nil, nil }
