--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -130,8 +130,8 @@
 	dead     bool
 }
 
-// probeOnlyAnnouncer implements router.News for hosts that exchange no announcements but do probe
-// upstreams.
+// probeOnlyAnnouncer implements router.Announcer for hosts that exchange no announcements but do
+// probe upstreams.
 type probeOnlyAnnouncer struct {
 	t       *testing.T
 	tracker *tracker.Tracker
--- a/router/router.go
+++ b/router/router.go
@@ -3,7 +3,7 @@
 // quarantine may refuse it.
 //
 // Package streamer asks it for routes, and package server asks it for instances of plain services.
-// It does no I/O: it announces to other hosts and probes upstreams through the Router's News.
+// It does no I/O: it announces to other hosts and probes upstreams through its Announcer.
 package router
 
 import (
@@ -35,14 +35,15 @@
 type Announcer interface {
 	// AnnounceLeaving announces that an upstream takes no new work in the given incarnation.
 	AnnounceLeaving(upstream string, incarnation int64)
-	// AnnounceDown announces that an upstream does not answer, or with down false that it answers again.
+	// AnnounceDown announces that an upstream does not answer, or with down false that it answers
+	// again.
 	AnnounceDown(upstream string, incarnation int64, down bool)
-	// AnnounceStrike announces a crash of an upstream together with a request that was in flight on it.
+	// AnnounceStrike announces a crash of an upstream and a request that was in flight on it.
 	AnnounceStrike(s tracker.Strike)
 	// ProbeSoon schedules a probe of each upstream now and does not wait for the results.
 	ProbeSoon(upstreams []string)
-	// FindUnresponsive probes the upstreams, waits, and returns one that does not answer; empty means that all
-	// of them answer.
+	// FindUnresponsive probes the upstreams, waits, and returns one that does not answer; empty
+	// means that all of them answer.
 	FindUnresponsive(ctx context.Context, upstreams []string) string
 }
 
@@ -167,7 +168,7 @@
 		u, _ := r.Tracker.Upstream(h.Upstream)
 		out[i] = streamer.Stage{Span: streamer.Span{Upstream: h.Upstream, First: h.First, Last: h.Last}, Address: u.Address}
 	}
-	r.Checker.Assert(route.Covers(job.Layers), checker.InvariantLayers, job.ID, "route %v does not tile %d layers", route, job.Layers)
+	r.Checker.Assert(route.Covers(job.Layers), checker.InvariantLayers, job.ID, "route %v does not run each of %d layers once, in order", route, job.Layers)
 	return out
 }
 
