--- a/picker/bound.go
+++ b/picker/bound.go
@@ -9,9 +9,9 @@
 	TokensPerSecond float64
 }
 
-// ThroughputBound returns the throughput bound: the most tokens per second that the candidates and links can
-// carry when each token passes each layer once. work is the cost of a token in iterations: 1 for a
-// generated token, more when the cost of reading prompts is spread over the tokens.
+// ThroughputBound returns the most tokens per second that the candidates and links can carry when
+// each token passes each layer once. work is the cost of a token in iterations: 1 for a generated
+// token, more when the cost of reading prompts is spread over the tokens.
 //
 // It solves a linear program of flow through a graph whose nodes are (layer boundary, data centre).
 // An upstream carries tokens from one boundary to a later one and spends its time on them; links
@@ -30,7 +30,7 @@
 	return value, err
 }
 
-// flowProgram is the linear program of Bound.
+// flowProgram is the linear program of ThroughputBound.
 type flowProgram struct {
 	boundaries []int
 	centres    []string
--- a/picker/cheapest.go
+++ b/picker/cheapest.go
@@ -15,7 +15,7 @@
 	// Steepness is how strongly a utilised upstream is avoided: a hop costs
 	// 1/(1-utilisation)^Steepness times what it costs on an idle upstream. 0 means 1.
 	Steepness float64
-	// Jitter is random jitter: each cost is multiplied by a random factor between 1 and 1+Spread,
+	// Jitter randomises costs: each is multiplied by a random factor between 1 and 1+Jitter,
 	// so that hosts with the same load reports don't all choose the same upstream. 0 means none.
 	Jitter float64
 	// PreferredFactor multiplies the cost of a Preferred candidate; 0 means 1.
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,5 +1,5 @@
-// Package picker chooses routes: which upstreams run which layers of a model
-// for one request. It also computes the throughput bound of a configuration.
+// Package picker chooses routes: which upstreams run which layers of a model for one request. It also
+// computes the throughput bound of a configuration.
 //
 // It does no I/O and reads no clock. The state of the upstreams is passed in as Candidates and the
 // random source as an argument, so that policies can be measured in isolation and compared on the
@@ -18,8 +18,8 @@
 	DataCentre string
 	// First and Last bound the layer range that it holds, both inclusive.
 	First, Last int
-	// StepTime is the fixed time of an iteration, Layer the time that one layer adds to it for one
-	// sequence.
+	// StepTime is the fixed time of an iteration, LayerTime the time that one layer adds to it for
+	// one sequence.
 	StepTime, LayerTime time.Duration
 	// Batch is the maximum number of sequences in one iteration, at least 1.
 	Batch int
