--- a/deduplicator/bucket.go
+++ b/deduplicator/bucket.go
@@ -90,6 +90,7 @@
 	}
 }
 
+// commitAll commits the pending operations, batch by batch, until none is left.
 func (b *bucket) commitAll() {
 	for {
 		b.mu.Lock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// dropExpired fails the operations past their deadline with ErrUnsettled and returns the others.
+// dropExpired fails the operations past their deadline with ErrClaimTimeout and returns the others.
 // After Stop it fails all of them.
 func (b *bucket) dropExpired(batch []*operation) []*operation {
 	now := time.Now()
@@ -217,6 +218,8 @@
 	return &b.current
 }
 
+// writeGeneration writes doc as generation g by compare-and-swap and caches it. After a failure a
+// sealed generation is no longer cached.
 func (b *bucket) writeGeneration(ctx context.Context, g *generation, doc *storedGeneration) error {
 	if doc.StartedAt == 0 {
 		doc.StartedAt = b.d.Clock().UnixMilli()
--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -22,8 +22,8 @@
 )
 
 var (
-	// ErrClaimTimeout means that the call's record could not be written in time. The call did not run
-	// and never will under its nonce.
+	// ErrClaimTimeout means that the call's record could not be written before CommitTimeout or the
+	// caller's deadline. The call did not run and never will under its nonce.
 	ErrClaimTimeout = errors.New("deduplicator: platform did not answer in time")
 	// ErrNotDispatched means that no byte of the call was sent, and none will be.
 	ErrNotDispatched = errors.New("deduplicator: not dispatched")
@@ -42,9 +42,9 @@
 
 // ClaimQuerier queries the host that claimed a call.
 type ClaimQuerier interface {
-	// QueryClaim returns what Answer returns on the host that wrote the record. It returns an error when
-	// the host can't be reached or is no longer the one that claimed the call; the outcome is then
-	// unknown.
+	// QueryClaim returns what ClaimState returns on the host that wrote the record. It returns an
+	// error when the host can't be reached or is not the one that claimed the call; the outcome is
+	// then unknown.
 	QueryClaim(ctx context.Context, rec Record) (running, abandoned bool, err error)
 }
 
@@ -114,7 +114,7 @@
 // Wait blocks until every outcome of this process is recorded, or abandoned because of Stop.
 func (d *Deduplicator) Wait() { d.wg.Wait() }
 
-// Stop abandons the outcomes that are not recorded yet. Repeats of those calls get ErrUnknown.
+// Stop abandons the outcomes that are not recorded yet. Repeats of those calls get ErrOutcomeUnknown.
 func (d *Deduplicator) Stop() { close(d.done) }
 
 func (d *Deduplicator) stopped() bool {
@@ -188,8 +188,8 @@
 	return op.result, err
 }
 
-// queryClaim returns the result of Answer on the host that wrote a record, and false for both when
-// that host can't be queried.
+// queryClaim returns the result of ClaimState on the host that wrote a record, and false for both
+// when that host can't be queried.
 func (d *Deduplicator) queryClaim(ctx context.Context, rec Record) (running, abandoned bool) {
 	if rec.Host == d.Host {
 		return d.ClaimState(rec.Incarnation, rec.Nonce)
@@ -202,9 +202,9 @@
 	return running, abandoned
 }
 
-// ClaimState reports to another host the state of a nonce of this process. A nonce that isn't live was
-// never dispatched, or its outcome is recorded. The other host then takes the record over by
-// compare-and-swap, which fails in the latter case. After a restart, with another incarnation, both
+// ClaimState reports to another host the state of a nonce of this process. A nonce that isn't live
+// was never dispatched, or its outcome is recorded. The other host then takes the record over by
+// compare-and-swap, which fails in the latter case. For another incarnation of this host both
 // results are false: the state is unknown.
 func (d *Deduplicator) ClaimState(incarnation int64, nonce string) (running, abandoned bool) {
 	if incarnation != d.Incarnation {
@@ -250,6 +250,8 @@
 	return out, nil
 }
 
+// dispatch sends a claimed call and records its outcome. The second result is false when no byte was
+// sent.
 func (d *Deduplicator) dispatch(ctx context.Context, c Call, rec Record, send Dispatch) (Outcome, bool, error) {
 	// When this host is paused between claim and dispatch for longer than the caller's deadline, the
 	// caller may have repeated the call through another host, which can't query this one meanwhile.
@@ -314,7 +316,7 @@
 
 // storeBody stores a large body under its own key, before the record that refers to it is written.
 // A body that is larger than storer.MaxValue, or can't be stored in five attempts, is missing, and
-// repeats of the call get ErrUnknown.
+// repeats of the call get ErrOutcomeUnknown.
 func (d *Deduplicator) storeBody(rec Record, out Outcome) *Outcome {
 	body := out.Body
 	out.Body, out.StoredSeparately = nil, true
--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -58,7 +58,7 @@
 	return f.hosts[name]
 }
 
-// QueryClaim implements deduplicator.Asker.
+// QueryClaim implements deduplicator.ClaimQuerier.
 func (f *fleet) QueryClaim(_ context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
 	d := f.host(rec.Host)
 	if d == nil {
