--- a/placer/placer.go
+++ b/placer/placer.go
@@ -34,8 +34,8 @@
 	TokenMB float64
 	// TokensPerRequest is the number of tokens that a typical request has in the cache.
 	TokensPerRequest float64
-	// StepTime is the time of a token step over all layers at pace 1. Request is what each
-	// request in the batch adds to it, in the same unit.
+	// StepTime is the time of a token step over all layers at pace 1. StepTimePerRequest is
+	// what each request in the batch adds to it, in the same unit.
 	StepTime, StepTimePerRequest float64
 	// Slots bounds the concurrent requests sent to a member that holds the first layer; 0
 	// means no bound.
@@ -54,8 +54,8 @@
 	Held Span
 	// Pending is set while an order to it is not carried out yet.
 	Pending bool
-	// Unreachable is set while it is unreachable but may return soon. The layers it held are
-	// no gap in the meantime: paths use another data centre for them.
+	// Unreachable is set while it can't be reached but may return soon. The layers it held
+	// are no gap in the meantime: paths use another data centre for them.
 	Unreachable bool
 	// Streams is the number of streams that pass through it.
 	Streams int
