--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// addRecentlyListed adds members that were listed a moment ago, as missing, and sets how long the
-// empty ones have been empty. An upstream that crashed is listed again within seconds, empty and
+// addRecentlyListed adds members that were listed a moment ago, as unreachable, and sets how long
+// the empty ones have been empty. An upstream that crashed is listed again within seconds, empty and
 // possibly under another ID, at the same address.
 func (o *Orderer) addRecentlyListed(members []placer.Member, addresses map[string]string) []placer.Member {
 	now := o.Now()
