--- a/planner/client.go
+++ b/planner/client.go
@@ -9,19 +9,19 @@
 	"net/http"
 )
 
-// Client sends orders over HTTP.
+// Client is an EngineClient that sends orders over HTTP.
 type Client struct {
 	HTTP *http.Client
 }
 
-// Loaded implements Orderer.
+// Loaded implements EngineClient.
 func (c *Client) Loaded(ctx context.Context, address string) (Target, error) {
 	var t Target
 	err := c.do(ctx, http.MethodGet, "http://"+address+"/v1/loaded", nil, &t)
 	return t, err
 }
 
-// Order implements Orderer.
+// Order implements EngineClient.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -59,8 +59,8 @@
 	Engines    EngineClient
 	Host       string
 	DataCentre string
-	// LeaseTTL is the time to live of the lease. Pause is the longest pause of a process that
-	// the planner guards against.
+	// LeaseTTL is the time to live of the lease. MaxPause is the longest pause of a process
+	// that the planner guards against.
 	LeaseTTL, MaxPause time.Duration
 	// Candidate reports whether this host is among the few of its data centre that try for
 	// the lease; nil means it is. If all hosts tried, the calls to the platform would grow
@@ -84,7 +84,8 @@
 	holding atomic.Bool
 }
 
-// Assignment is an engine and its target. ChecksFence is set if the engine refuses stale fencing tokens.
+// Assignment is an engine and its target. ChecksFence is set if the engine refuses stale fencing
+// tokens.
 type Assignment struct {
 	Upstream    builder.Upstream
 	Target      Target
@@ -153,8 +154,8 @@
 		fence:     fence,
 		expiresAt: start.Add(p.LeaseTTL),
 		// The previous holder may have been paused right after it checked its lease, and then
-		// gives one more order when it resumes. It checks its lease again within Pause. Until
-		// then, engines that would not refuse its order get none from this host.
+		// gives one more order when it resumes. It checks its lease again within MaxPause.
+		// Until then, engines that would not refuse its order get none from this host.
 		unfencedAfter: start.Add(p.LeaseTTL + p.MaxPause),
 	}, nil
 }
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// lease and pause are the values of Lease and Pause of all planners.
+// lease and pause are the values of LeaseTTL and MaxPause of all planners.
 const (
 	lease = 5 * time.Second
 	pause = 10 * time.Second
