--- a/follower/follower.go
+++ b/follower/follower.go
@@ -31,10 +31,11 @@
 	Position
 	// Configuration is nil if it has not changed.
 	Configuration *matcher.Configuration
-	// Listed holds new or changed upstreams, Gone the ids of those whose entry was removed.
+	// Listed holds new or changed upstreams, Removed the ids of those whose entry was removed.
 	Listed  []balancer.Upstream
 	Removed []string
-	// Hosts holds new or changed entry hosts, HostsGone the names of those whose entry was removed.
+	// Hosts holds new or changed entry hosts, RemovedHosts the names of those whose entry was
+	// removed.
 	Hosts        []Host
 	RemovedHosts []string
 	// Duties holds the data centres whose duty changed hands.
@@ -116,8 +117,9 @@
 	Now func() time.Duration
 	// OnChange is called after each change that was applied; nil means no call.
 	OnChange func()
-	// ReadsSource reports whether this host reads the source itself. Other hosts get changes from their
-	// peers, and read the source only while these are silent or out of date; nil means always.
+	// ReadsSource reports whether this host reads the source itself. Other hosts get changes from
+	// their peers, and read the source only while these are silent or out of date; nil means
+	// always.
 	ReadsSource func() bool
 	// ReaderCount returns how many hosts read the source; nil means all of them.
 	ReaderCount func() int
--- a/follower/peers.go
+++ b/follower/peers.go
@@ -40,9 +40,9 @@
 	return out
 }
 
-// ApplyPeerState applies the state with which a peer answered a call that this host sent at sent. If the peer
-// has a newer configuration or changes that it cannot send, this host reads the source itself: a
-// configuration is too large to be sent over the link of one host to all others.
+// ApplyPeerState applies the state with which a peer answered a call that this host sent at sent.
+// If the peer has a newer configuration or changes that it cannot send, this host reads the source
+// itself: a configuration is too large to be sent over the link of one host to all others.
 func (f *Follower) ApplyPeerState(sent time.Duration, s *State) {
 	f.mu.Lock()
 	applied := f.applyPeerState(sent, s)
@@ -96,10 +96,10 @@
 	return applied
 }
 
-// ApplyPeerConfiguration applies the version and the age with which a peer answered a call that this host sent at
-// sent, and the configuration if the peer sent one. This keeps a host that the source refuses as
-// current as its peers. Only answers count, because the transit time of a call from a peer is not
-// known.
+// ApplyPeerConfiguration applies the version and the age with which a peer answered a call that
+// this host sent at sent, and the configuration if the peer sent one. This keeps a host that the
+// source refuses as current as its peers. Only answers count, because the transit time of a call
+// from a peer is not known.
 func (f *Follower) ApplyPeerConfiguration(sent, age time.Duration, version int64, cfg *matcher.Configuration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,9 +111,9 @@
 	f.confirmedAt.Store(max(f.confirmedAt.Load(), int64(sent-age)))
 }
 
-// ApplyPeerUpstreams applies the full list of upstreams that a peer knew at a position of the source, unless
-// this host has read a later one: a host that was suspended may receive an answer that is seconds
-// old.
+// ApplyPeerUpstreams applies the full list of upstreams that a peer knew at a position of the
+// source, unless this host has read a later one: a host that was suspended may receive an answer
+// that is seconds old.
 func (f *Follower) ApplyPeerUpstreams(list []balancer.Upstream, at Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
