--- a/sharer/limits.go
+++ b/sharer/limits.go
@@ -12,8 +12,8 @@
 // other hosts.
 const maxLimitsWait = 400 * time.Millisecond
 
-// KnowsLimits reports whether this host knows which upstreams name a limit: another host has sent its
-// limits, there is no other host, or none answered within maxLimitsWait.
+// KnowsLimits reports whether this host knows which upstreams name a limit: another host has sent
+// its limits, there is no other host, or none answered within maxLimitsWait.
 func (s *Sharer) KnowsLimits() bool {
 	if s.heardFromHost.Load() {
 		return true
