--- a/tracker/events.go
+++ b/tracker/events.go
@@ -55,8 +55,8 @@
 	return true
 }
 
-// RecordProberReport records what an upstream's probers report. When they report it up, it is no longer down for
-// this host either, but a suspicion from a failure seen by this host stays.
+// RecordProberReport records what an upstream's probers report. When they report it up, it is no
+// longer down for this host either, but a suspicion from a failure seen by this host stays.
 func (t *Tracker) RecordProberReport(now time.Time, name string, incarnation int64, down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +74,8 @@
 	}
 }
 
-// SuspectedLocally lists the upstreams that are down or suspect for this host but not for their probers.
+// SuspectedLocally lists the upstreams that are down or suspect for this host but not for their
+// probers.
 func (t *Tracker) SuspectedLocally() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,9 +89,9 @@
 	return out
 }
 
-// RecordFailure records a failure, and reports whether the state changed. down is set if a connection was
-// refused or broke, so that the upstream certainly did not answer; else the upstream only becomes
-// suspect.
+// RecordFailure records a failure, and reports whether the state changed. down is set if a
+// connection was refused or broke, so that the upstream certainly did not answer; else the upstream
+// only becomes suspect.
 func (t *Tracker) RecordFailure(now time.Time, name string, down bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,8 +127,8 @@
 	return out
 }
 
-// SameDataCentre lists up to n upstreams, drawn at random, that are in the same data centre as the named
-// one and not down.
+// SameDataCentre lists up to n upstreams, drawn at random, that are in the same data centre as the
+// named one and not down.
 func (t *Tracker) SameDataCentre(name string, n int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,9 +147,9 @@
 	return out[:min(n, len(out))]
 }
 
-// MarkLeaving marks an upstream as leaving in an incarnation; 0 means the current one. A leaving upstream
-// gets no work, whatever else is reported, until it has a newer incarnation. The result is whether
-// it became leaving.
+// MarkLeaving marks an upstream as leaving in an incarnation; 0 means the current one. A leaving
+// upstream gets no work, whatever else is reported, until it has a newer incarnation. The result is
+// whether it became leaving.
 func (t *Tracker) MarkLeaving(name string, incarnation int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,8 +189,8 @@
 	return StateDown
 }
 
-// StrikeInFlight returns the fingerprints against which the crash of an upstream counts: those of the
-// requests that this host has in flight there. Only the first crash on a route counts against a
+// StrikeInFlight returns the fingerprints of the requests that this host has in flight on a crashed
+// upstream, and marks these requests as struck. Only the first crash on a route counts against a
 // request. A rack or a data centre can fail with all upstreams of a route, and if each of them
 // counted, innocent requests would be refused for good. A request that causes crashes does so again
 // on its next route, and an innocent one does not.
@@ -224,8 +225,8 @@
 	}
 }
 
-// AcquireInstance draws two instances of a plain service, counts a request as in flight on the less
-// loaded one and returns its name. It returns "" if none has room.
+// AcquireInstance draws two instances of a plain service that have room, counts a request as in
+// flight on the less loaded one and returns its name. It returns "" if none has room.
 func (t *Tracker) AcquireInstance(now time.Time, names []string, r Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/tracker/suspects.go
+++ b/tracker/suspects.go
@@ -175,8 +175,8 @@
 	})
 }
 
-// ReachesThreshold reports whether a fingerprint has enough strikes to be refused, so that it is worth
-// waiting briefly for other hosts to report fingerprints with the same strikes.
+// ReachesThreshold reports whether a fingerprint has enough strikes to be refused, so that it is
+// worth waiting briefly for other hosts to report fingerprints with the same strikes.
 func (s *Suspects) ReachesThreshold(now time.Time, fingerprint uint64) bool {
 	return len(s.Active(now, fingerprint)) >= soleStrikeThreshold
 }
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -277,8 +277,8 @@
 	u.requests[r.ID] = inFlightRequest{fingerprint: r.Fingerprint, suspect: r.Suspect}
 }
 
-// Release ends what Acquire or AcquireOne started for a request. A second call for the same request
-// has no effect.
+// Release ends what Acquire or AcquireInstance started for a request. A second call for the same
+// request has no effect.
 func (t *Tracker) Release(now time.Time, upstreams []string, requestID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -81,7 +81,8 @@
 	return builder.Model{}, false
 }
 
-// ExpectedTokenGap estimates the time between two tokens on a route, including links.
+// ExpectedTokenGap estimates the time between two tokens on a route, including links. It is 0 for
+// an unknown pipeline.
 func (t *Tracker) ExpectedTokenGap(now time.Time, name string, route picker.Route, from string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,8 +107,9 @@
 	return sum + t.links.Latency(at, from)
 }
 
-// ThroughputBound returns the throughput bound of a pipeline in tokens per second, over the upstreams that
-// are up or, if declared is set, over all declared ones. The cost of prompts is not included.
+// ThroughputBound returns the throughput bound of a pipeline in tokens per second, over the
+// upstreams that are up or, if declared is set, over all declared ones. The cost of prompts is not
+// included.
 func (t *Tracker) ThroughputBound(now time.Time, name string, declared bool) (float64, error) {
 	t.mu.Lock()
 	p := t.pipelines[name]
