--- a/follower/follower.go
+++ b/follower/follower.go
@@ -430,8 +430,8 @@
 	}
 }
 
-// loadStagger is the time between two hosts that start to read long lists: about what a few
-// thousand entries take over the link of the source.
+// loadStagger is the time between two hosts that start to read long lists: about what some thousand
+// entries take over the link of the source.
 const loadStagger = 16 * time.Millisecond
 
 // loadDelay returns when this host starts to read long lists, so that the hosts of a large fleet
