--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,7 +28,7 @@
 
 // Upstream is an upstream's entry in the list.
 type Upstream struct {
-	// ID names one incarnation. Where an id is reused, Born tells the incarnations apart.
+	// ID names one incarnation. Where an id is reused, StartedAt tells the incarnations apart.
 	ID         string `json:"id"`
 	Service    string `json:"service"`
 	Address    string `json:"address"`
@@ -71,10 +71,10 @@
 	started bool
 }
 
-// Requirements is what a request requires of its upstreams.
+// Requirements describes what a request needs of its upstreams.
 type Requirements struct {
 	Service string
-	// PromptTokens and Answer are the expected numbers of tokens; 0 for a plain service.
+	// PromptTokens and AnswerTokens are the expected numbers; 0 for a plain service.
 	PromptTokens, AnswerTokens float64
 	// Avoid lists the upstreams that failed this request.
 	Avoid []string
@@ -116,7 +116,7 @@
 	capacity, reserved float64
 	// ejectedUntil keeps new work off it after a failure that the list doesn't show yet.
 	ejectedUntil time.Duration
-	// suspectUntil is how long its cost is raised after an ejection, unless a stream starts.
+	// suspectUntil is until when its cost is raised after an ejection, unless a stream starts.
 	suspectUntil time.Duration
 	// pace is by what factor it is slower than its kind of accelerator, as it reported at
 	// paceAt; 0 before the first report.
@@ -204,9 +204,9 @@
 	b.subset.stale = true
 }
 
-// UpdateUpstreams applies changes of the list of upstreams. It returns the entries that differ from the
-// known ones, since upstreams repeat their entry with each heartbeat, and the ids among gone
-// that were known.
+// UpdateUpstreams applies changes of the list of upstreams. It returns the entries that differ
+// from the known ones, since upstreams repeat their entry with each heartbeat, and the ids among
+// gone that were known.
 func (b *Balancer) UpdateUpstreams(listed []Upstream, gone []string) (changed []Upstream, dropped []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-var modelNeed = balancer.Requirements{Service: "model", PromptTokens: 700, AnswerTokens: 200}
+var modelRequirements = balancer.Requirements{Service: "model", PromptTokens: 700, AnswerTokens: 200}
 
 func ids(hops []balancer.Hop) string {
 	out := ""
@@ -61,13 +61,13 @@
 func TestPath(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "a1 a2 ") // prefers its own data centre
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelRequirements))), "a1 a2 ") // prefers its own data centre
 	is.True(b.SetDead(0, "a2", true))
-	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ") // prefers a path inside another data centre to one that crosses
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelRequirements))), "b1 b2 ") // prefers a path inside another data centre to one that crosses
 	is.True(b.SetDead(0, "b1", true))
-	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "a1 b2 ") // crosses when there is no other path
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelRequirements))), "a1 b2 ") // crosses when there is no other path
 	is.True(b.SetDead(0, "b2", true))
-	_, reason := b.Acquire(0, modelNeed)
+	_, reason := b.Acquire(0, modelRequirements)
 	is.Equal(reason, balancer.ReasonNoUpstream)
 }
 
@@ -77,7 +77,7 @@
 	b := newBalancer()
 	free := 0
 	for {
-		if _, reason := b.Acquire(0, modelNeed); reason != balancer.ReasonNone {
+		if _, reason := b.Acquire(0, modelRequirements); reason != balancer.ReasonNone {
 			is.Equal(reason, balancer.ReasonNoRoom)
 			break
 		}
@@ -86,9 +86,9 @@
 	other := newBalancer()
 	other.SetHosts(map[string]string{"host-b": "a"})
 	is.NoErr(other.SetReport(0, "host-b", b.Usage(0)))
-	_, reason := other.Acquire(0, modelNeed)
+	_, reason := other.Acquire(0, modelRequirements)
 	is.Equal(reason, balancer.ReasonNoRoom)
-	_, reason = other.Acquire(10*time.Second, modelNeed) // the report has expired
+	_, reason = other.Acquire(10*time.Second, modelRequirements) // the report has expired
 	is.Equal(reason, balancer.ReasonNone)
 	t.Logf("%d requests fit", free)
 }
@@ -98,7 +98,7 @@
 	b := newBalancer()
 	var leases []*balancer.Lease
 	for range 20 {
-		l := acquire(t, b, 0, modelNeed)
+		l := acquire(t, b, 0, modelRequirements)
 		b.RecordStart(0, l)
 		leases = append(leases, l)
 	}
@@ -115,7 +115,7 @@
 func TestRepath(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	l := acquire(t, b, 0, modelNeed)
+	l := acquire(t, b, 0, modelRequirements)
 	is.True(b.SetDead(0, "a2", true))
 	is.Equal(ids(b.Repath(0, l, "a2")), "a1 b2 ")
 	is.Equal(ids(b.Path(l)), "a1 b2 ")
@@ -129,12 +129,12 @@
 func TestSilent(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	one := acquire(t, b, 0, modelNeed)
+	one := acquire(t, b, 0, modelRequirements)
 	b.RecordStart(0, one)
 	is.Equal(len(b.SilentUpstreams(100*ms)), 0)
 	is.Equal(len(b.SilentUpstreams(300*ms)), 2)
 	for range 24 {
-		b.RecordStart(300*ms, acquire(t, b, 300*ms, modelNeed))
+		b.RecordStart(300*ms, acquire(t, b, 300*ms, modelRequirements))
 	}
 	is.Equal(len(b.SilentUpstreams(320*ms)), 0)
 	is.True(len(b.SilentUpstreams(370*ms)) >= 2)
@@ -149,7 +149,7 @@
 	is := is.New(t)
 	b := newBalancer()
 	b.UpdateUpstreams([]balancer.Upstream{{ID: "a1-new", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", StartedAt: 7}}, nil)
-	is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ")
+	is.Equal(ids(b.Path(acquire(t, b, 0, modelRequirements))), "b1 b2 ")
 	b.UpdateUpstreams([]balancer.Upstream{{ID: "a1", Service: "model", Address: "a:1", DataCentre: "a", Card: "large", Layers: balancer.Span{To: 40}, StartedAt: 3}}, nil)
 	is.Equal(b.ByAddress("a:1"), "a1-new") // ignores a late heartbeat of the old incarnation
 }
@@ -166,14 +166,14 @@
 	}, nil)
 	is.True(b.SetDead(0, "a2", true))
 	is.True(b.SetDead(0, "b1", true))
-	l := acquire(t, b, 0, modelNeed)
+	l := acquire(t, b, 0, modelRequirements)
 	is.Equal(ids(b.Path(l)), "a1 b2 ")
 	for n := range 6 {
 		b.RecordFirstEventDelay(l, time.Duration(n)*ms, 2*time.Second)
 	}
 	b.Release(l)
-	is.True(!strings.Contains(ids(b.Path(acquire(t, b, 7*ms, modelNeed))), "a1 b2"))
-	is.Equal(ids(b.Path(acquire(t, b, 20*time.Second, modelNeed))), "a1 b2 ") // the link is tried again
+	is.True(!strings.Contains(ids(b.Path(acquire(t, b, 7*ms, modelRequirements))), "a1 b2"))
+	is.Equal(ids(b.Path(acquire(t, b, 20*time.Second, modelRequirements))), "a1 b2 ") // the link is tried again
 }
 
 // TestNarrowStage guards against streams that queue in a data centre with one upstream left for
@@ -181,7 +181,7 @@
 func TestNarrowStage(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	n := modelNeed
+	n := modelRequirements
 	n.FirstEventTarget = 500 * ms
 	first := func(now, took time.Duration) string {
 		l := acquire(t, b, now, n)
@@ -251,7 +251,7 @@
 			}
 			bal.UpdateUpstreams(list, nil)
 			for b.Loop() {
-				if l, _ := bal.Acquire(0, modelNeed); l != nil {
+				if l, _ := bal.Acquire(0, modelRequirements); l != nil {
 					bal.Release(l)
 				}
 			}
@@ -264,10 +264,10 @@
 func TestRestartElsewhere(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
-	few := acquire(t, b, 0, modelNeed)
+	few := acquire(t, b, 0, modelRequirements)
 	is.True(!b.ShouldRestartElsewhere(0, few, "a2")) // a single stream crosses fast enough
 	for range 20 {
-		acquire(t, b, 0, modelNeed)
+		acquire(t, b, 0, modelRequirements)
 	}
 	is.True(b.SetDead(0, "a2", true))
 	is.True(b.ShouldRestartElsewhere(0, few, "a2"))
@@ -283,9 +283,9 @@
 	is := is.New(t)
 	b := newBalancer()
 	b.UpdateUpstreams([]balancer.Upstream{{ID: "a3", Service: "model", Address: "a:4", DataCentre: "a", Card: "large", Layers: balancer.Span{From: 40, To: 80}}}, nil)
-	l := acquire(t, b, 0, modelNeed)
+	l := acquire(t, b, 0, modelRequirements)
 	for range 40 {
-		acquire(t, b, 0, modelNeed)
+		acquire(t, b, 0, modelRequirements)
 	}
 	lost := strings.Fields(ids(b.Path(l)))[1]
 	is.True(b.SetDead(0, lost, true))
@@ -300,7 +300,7 @@
 	b := newBalancer()
 	crossed := 0
 	for n := 0; ; n++ {
-		l, reason := b.Acquire(0, modelNeed)
+		l, reason := b.Acquire(0, modelRequirements)
 		if reason != balancer.ReasonNone {
 			t.Logf("%d requests fit, %d cross", n, crossed)
 			break
--- a/balancer/full_test.go
+++ b/balancer/full_test.go
@@ -30,7 +30,7 @@
 		for i := range 4000 {
 			now := time.Duration(i) * 5 * ms
 			reportFull(t, b, now, "a2", "b1")
-			l, reason := b.Acquire(now, modelNeed)
+			l, reason := b.Acquire(now, modelRequirements)
 			if l == nil {
 				is.Equal(reason, balancer.ReasonNoRoom)
 				continue
@@ -46,13 +46,13 @@
 	t.Run("capacity in another data centre", func(t *testing.T) {
 		b := newBalancer()
 		reportFull(t, b, 0, "a2")
-		is.New(t).Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "b1 b2 ")
+		is.New(t).Equal(ids(b.Path(acquire(t, b, 0, modelRequirements))), "b1 b2 ")
 	})
 	t.Run("no data centre holds all layers", func(t *testing.T) {
 		is := is.New(t)
 		b := newBalancer()
 		is.True(b.SetDead(0, "a2", true))
 		is.True(b.SetDead(0, "b1", true))
-		is.Equal(ids(b.Path(acquire(t, b, 0, modelNeed))), "a1 b2 ")
+		is.Equal(ids(b.Path(acquire(t, b, 0, modelRequirements))), "a1 b2 ")
 	})
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RecordStart records the first event of a stream. Later events go to Progress.
+// RecordStart records the first event of a stream. Later events go to RecordProgress.
 func (b *Balancer) RecordStart(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,8 +44,8 @@
 	minSilenceLimit     = 60 * time.Millisecond
 )
 
-// SilentUpstreams returns the upstreams whose started streams have all got no event for longer than
-// their number explains.
+// SilentUpstreams returns the upstreams whose started streams have all got no event for longer
+// than their number explains.
 func (b *Balancer) SilentUpstreams(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +95,7 @@
 // DeadUpstreams returns upstreams that accept no connection, at most a given number for each data
 // centre, in rotation by turn. Most often a whole data centre is unreachable, and the first
 // upstream there that accepts a connection shows that all of it may be reachable again.
-func (b *Balancer) DeadUpstreams(turn, most int) []Hop {
+func (b *Balancer) DeadUpstreams(turn, maxPerDataCentre int) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byDataCentre := make(map[string][]Hop)
@@ -107,14 +107,14 @@
 	var out []Hop
 	for _, dead := range byDataCentre {
 		slices.SortFunc(dead, func(a, b Hop) int { return strings.Compare(a.ID, b.ID) })
-		for i := range min(most, len(dead)) {
-			out = append(out, dead[(turn*most+i)%len(dead)])
+		for i := range min(maxPerDataCentre, len(dead)) {
+			out = append(out, dead[(turn*maxPerDataCentre+i)%len(dead)])
 		}
 	}
 	return out
 }
 
-// DeadInSameDataCentre returns the dead upstreams in the same data centre, without the upstream itself.
+// DeadInSameDataCentre returns the other dead upstreams in the data centre of an upstream.
 func (b *Balancer) DeadInSameDataCentre(id string) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,9 +176,9 @@
 // points to the network path there.
 const correlatedLossWindow = time.Second
 
-// CorrelatedSuspects returns the upstreams, not known to be dead, in the data centre of one that was
-// found dead, if another one there was found dead just before. Otherwise streams would have
-// to time out on each upstream of a partitioned data centre in turn.
+// CorrelatedSuspects returns the upstreams in the data centre of a dead one that aren't known to be
+// dead, if another one there was found dead just before. Otherwise streams would have to time out
+// on each upstream of a partitioned data centre in turn.
 func (b *Balancer) CorrelatedSuspects(now time.Duration, id string) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -241,8 +241,8 @@
 	}
 }
 
-// Eject ejects an unreachable upstream for a while, twice as long with each failure in a row. It
-// reports whether the upstream was in use.
+// Eject keeps new work off an unreachable upstream for a while, twice as long with each failure in
+// a row up to maxEjection. It reports whether the upstream was in use.
 func (b *Balancer) Eject(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -250,7 +250,7 @@
 	return u != nil && u.eject(now)
 }
 
-// eject implements Out.
+// eject implements Eject.
 func (u *upstream) eject(now time.Duration) bool {
 	if u.ejectedUntil > now {
 		return false
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -125,7 +125,7 @@
 
 // Limits returns at most a given number of the known limits: recently changed ones first, then
 // others drawn at random, so that all are sent within some exchanges.
-func (b *Balancer) Limits(now time.Duration, most int) []UpstreamLimit {
+func (b *Balancer) Limits(now time.Duration, maxCount int) []UpstreamLimit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var recent, rest []UpstreamLimit
@@ -140,7 +140,7 @@
 	slices.SortFunc(recent, func(a, b UpstreamLimit) int { return strings.Compare(a.Upstream, b.Upstream) })
 	rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	out := slices.Concat(recent, rest)
-	return out[:min(most, len(out))]
+	return out[:min(maxCount, len(out))]
 }
 
 // LimitCount returns the number of upstreams that name a limit.
@@ -163,15 +163,15 @@
 	return b.limitedSent
 }
 
-// withinLimit reports whether the limit of an upstream allows a request now. begun is set for a
-// request that has to go on.
-func (b *Balancer) withinLimit(now time.Duration, u *upstream, begun bool) bool {
+// withinLimit reports whether the limit of an upstream allows a request now. inProgress is set for
+// a request that has to go on.
+func (b *Balancer) withinLimit(now time.Duration, u *upstream, inProgress bool) bool {
 	l := &u.limit
 	if !l.InForce() {
 		return true
 	}
 	b.updateShare(now, u)
-	return now >= l.usableFrom && l.bucket.CanTake(now, l.share, begun)
+	return now >= l.usableFrom && l.bucket.CanTake(now, l.share, inProgress)
 }
 
 // countSent counts a sent request against the limit of its upstream.
@@ -189,7 +189,8 @@
 	}
 }
 
-// ThrottledCount returns the number of requests that skipped an upstream for lack of limit capacity.
+// ThrottledCount returns the number of requests that skipped an upstream because its limit had no
+// capacity.
 func (b *Balancer) ThrottledCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -258,7 +259,7 @@
 }
 
 // LimitWait returns the time until some upstream of the service has capacity within its limit
-// again, or until another host may have, as far as this host knows. 0 means that none is limited.
+// again, or until another host may have, as far as this host knows; 0 when no limit is in force.
 func (b *Balancer) LimitWait(now time.Duration, service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -49,7 +49,7 @@
 	t.Run("first stage", func(t *testing.T) {
 		is := is.New(t)
 		b := newLimitedBalancer(t, nil, 2, "a1")
-		got := countByFirstHop(b, limitNamedAt, 20, modelNeed)
+		got := countByFirstHop(b, limitNamedAt, 20, modelRequirements)
 		is.True(got["a1"] >= 35 && got["a1"] <= 44)
 		is.Equal(got[""], 0) // the other data centre gets the rest
 		is.True(b.ThrottledCount() > 300)
@@ -57,30 +57,30 @@
 	})
 	t.Run("later stage", func(t *testing.T) {
 		b := newLimitedBalancer(t, nil, 2, "a2")
-		is.New(t).Equal(countByFirstHop(b, limitNamedAt, 5, modelNeed)["a1"], 100)
+		is.New(t).Equal(countByFirstHop(b, limitNamedAt, 5, modelRequirements)["a1"], 100)
 	})
 	t.Run("all first stages", func(t *testing.T) {
 		is := is.New(t)
 		b := newLimitedBalancer(t, nil, 2, "a1", "b1")
 		var reason balancer.Reason
 		for range 10 {
-			_, reason = b.Acquire(limitNamedAt+10*time.Second, modelNeed)
+			_, reason = b.Acquire(limitNamedAt+10*time.Second, modelRequirements)
 		}
 		is.Equal(reason, balancer.ReasonLimit)
 		wait := b.LimitWait(limitNamedAt+10*time.Second, "model")
 		is.True(wait > 0 && wait <= time.Second)
-		_, reason = b.Acquire(limitNamedAt+10*time.Second+wait, modelNeed)
+		_, reason = b.Acquire(limitNamedAt+10*time.Second+wait, modelRequirements)
 		is.Equal(reason, balancer.ReasonNone) // LimitWait named the right time
 	})
 	t.Run("stream in progress", func(t *testing.T) {
 		is := is.New(t)
 		b := newLimitedBalancer(t, nil, 2, "a1", "b1")
-		for l, _ := b.Acquire(limitNamedAt+10*time.Second, modelNeed); l != nil; l, _ = b.Acquire(limitNamedAt+10*time.Second, modelNeed) {
+		for l, _ := b.Acquire(limitNamedAt+10*time.Second, modelRequirements); l != nil; l, _ = b.Acquire(limitNamedAt+10*time.Second, modelRequirements) {
 			b.Release(l)
 		}
-		begun := modelNeed
-		begun.InProgress = true
-		_, reason := b.Acquire(limitNamedAt+10*time.Second, begun)
+		inProgress := modelRequirements
+		inProgress.InProgress = true
+		_, reason := b.Acquire(limitNamedAt+10*time.Second, inProgress)
 		is.Equal(reason, balancer.ReasonNone)
 	})
 	t.Run("probes count", func(t *testing.T) {
--- a/balancer/pace.go
+++ b/balancer/pace.go
@@ -15,8 +15,8 @@
 	slowWindow    = time.Second
 )
 
-// RecordSlowEvent records an event of a stream that came late although its path had not changed. One of
-// its upstreams may be slower than declared.
+// RecordSlowEvent records an event of a stream that came late although its path had not changed.
+// One of its upstreams may be slower than declared.
 func (b *Balancer) RecordSlowEvent(now time.Duration, l *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -32,9 +32,9 @@
 	}
 }
 
-// PaceQueries returns the upstreams to query for their pace: those over which events came late just now
-// and that no other host has reported on, and those known to be slow. Queries count against rate
-// limits; without late events there are none.
+// PaceQueries returns the upstreams to query for their pace: those over which events came late just
+// now and whose pace no other host has reported, and those known to be slow. Queries count against
+// rate limits; without late events there are none.
 func (b *Balancer) PaceQueries(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/pace_test.go
+++ b/balancer/pace_test.go
@@ -16,7 +16,7 @@
 	const requests = 60
 	n := 0
 	for range requests {
-		l := acquire(t, b, now, modelNeed)
+		l := acquire(t, b, now, modelRequirements)
 		if slices.ContainsFunc(b.Path(l), func(h balancer.Hop) bool { return h.ID == id }) {
 			n++
 		}
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -222,10 +222,10 @@
 // takes 150 ms.
 const maxCrossingWait = 50 * time.Millisecond
 
-// ShouldRestartElsewhere reports whether a running request should restart in another data centre rather than
-// take a changed path around an upstream. Where no other upstream of its data centre holds the
-// layers, a path around it crosses a pipe with all that the stream has read, one stream after the
-// other. A path inside another data centre reads the prompt anew and crosses nothing.
+// ShouldRestartElsewhere reports whether a running request should restart in another data centre
+// rather than take a changed path around an upstream. Where no other upstream of its data centre
+// holds the layers, a path around it crosses a pipe with all that the stream has read, one stream
+// after the other. A path inside another data centre reads the prompt anew and crosses nothing.
 func (b *Balancer) ShouldRestartElsewhere(now time.Duration, l *Lease, avoid string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -318,8 +318,8 @@
 	return links
 }
 
-// DescribeUncovered describes which layers of a service no usable upstream holds, and why each upstream
-// that holds layers but isn't usable is not; for logs.
+// DescribeUncovered describes for logs which layers of a service no usable upstream holds, and why
+// the other upstreams that hold layers aren't usable.
 func (b *Balancer) DescribeUncovered(now time.Duration, service string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/path_bench_test.go
+++ b/balancer/path_bench_test.go
@@ -35,7 +35,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				l, reason := bal.Acquire(time.Second, modelNeed)
+				l, reason := bal.Acquire(time.Second, modelRequirements)
 				if reason != balancer.ReasonNone {
 					b.Fatal(reason)
 				}
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -17,11 +17,11 @@
 	Requests int64
 	// TokenLayers is the capacity that they take there, in tokens times layers.
 	TokenLayers int64
-	// DeadHosts counts the hosts from which it accepts no connection. Suspected counts the hosts that
+	// DeadHosts counts the hosts from which it accepts no connection, SuspectingHosts those that
 	// ejected it some seconds ago and have started no stream over it since.
 	DeadHosts, SuspectingHosts int64
 	// Pace is the highest factor by which it is slower than its kind of accelerator that it
-	// reported to one of the Paced hosts; 0 where Paced is 0.
+	// reported to one of the PaceHosts hosts; 0 where PaceHosts is 0.
 	Pace      float64
 	PaceHosts int64
 }
@@ -356,15 +356,15 @@
 
 // Truncate returns the report with at most a given number of upstreams: those that some host can't
 // reach or suspects come first, then those with the most capacity in use. It reorders r.Usage.
-func (r Report) Truncate(most int) Report {
-	if len(r.Usage) <= most {
+func (r Report) Truncate(maxUpstreams int) Report {
+	if len(r.Usage) <= maxUpstreams {
 		return r
 	}
 	unreachable := func(u *Usage) int64 { return min(1, u.DeadHosts+u.SuspectingHosts) }
 	slices.SortFunc(r.Usage, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(unreachable(&b), unreachable(&a)), cmp.Compare(b.TokenLayers, a.TokenLayers), strings.Compare(a.Upstream, b.Upstream))
 	})
-	r.Usage = r.Usage[:most]
+	r.Usage = r.Usage[:maxUpstreams]
 	return r
 }
 
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -80,7 +80,7 @@
 	if !bound.TryAcquire() {
 		return
 	}
-	l, _ := b.Acquire(now, modelNeed)
+	l, _ := b.Acquire(now, modelRequirements)
 	if l == nil {
 		bound.Release()
 		return
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	is.True(lost >= 8)
-	acquire(t, b, time.Second, modelNeed)
+	acquire(t, b, time.Second, modelRequirements)
 }
 
 // TestSubsetInFlight guards against streams that are no longer watched or reported after their
@@ -92,7 +92,7 @@
 func TestSubsetInFlight(t *testing.T) {
 	is := is.New(t)
 	b := largeFleetHosts(300, 3000)[0]
-	l := acquire(t, b, 0, modelNeed)
+	l := acquire(t, b, 0, modelRequirements)
 	hops := b.Path(l)
 	var changed []balancer.Upstream
 	for _, u := range largeFleet(3000) {
--- a/balancer/turned_test.go
+++ b/balancer/turned_test.go
@@ -64,7 +64,7 @@
 			next += exchange
 		}
 		b := all[int(now/(10*ms))%len(all)]
-		n := modelNeed
+		n := modelRequirements
 		for try := range tries {
 			l, reason := b.Acquire(now, n)
 			is.Equal(reason, balancer.ReasonNone)
