--- a/limiter/limit.go
+++ b/limiter/limit.go
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("limiter: limit of %g requests a second, version %d, out of range", e.PerSecond, e.Version)
 }
 
-// Check returns an *ImpossibleError for a version or rate that is out of range.
+// Check returns an *InvalidLimitError for a version or rate that is out of range.
 func (l *Limit) Check() error {
 	if l.Version < 1 || l.Version > maxVersion || l.PerSecond < 0 || math.IsNaN(l.PerSecond) {
 		return &InvalidLimitError{l.Version, l.PerSecond}
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -25,8 +25,8 @@
 	PerSecond float64
 	// Burst is how many requests it may send at once after a pause; at least 1 for a positive rate.
 	Burst float64
-	// InitialLevel is the part of a request that the bucket starts with. It differs by host, since with
-	// a low limit all hosts would otherwise wait equally long for their first request.
+	// InitialLevel is the part of a request that the bucket starts with. It differs by host, since
+	// with a low limit all hosts would otherwise wait equally long for their first request.
 	InitialLevel float64
 }
 
