--- a/forwarder/events_test.go
+++ b/forwarder/events_test.go
@@ -54,13 +54,13 @@
 			pending = append(pending, in[at:min(len(in), at+size)]...)
 			events, rest, _ := splitEvents(pending)
 			if len(events) > 0 && !strings.HasSuffix(string(events), "\n\n") && !strings.HasSuffix(string(events), "\r\n\r\n") {
-				t.Fatalf("%q does not end an event", events)
+				t.Fatalf("events %q do not end with an empty line", events)
 			}
 			out = append(out, events...)
 			pending = append([]byte(nil), rest...)
 		}
 		if got := string(out) + string(pending); got != in {
-			t.Fatalf("%q became %q", in, got)
+			t.Fatalf("input %q was changed to %q", in, got)
 		}
 	})
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -98,8 +98,8 @@
 
 // Ready reports whether this host can serve requests.
 func (f *Forwarder) Ready() bool {
-	informed := f.LimitsKnown == nil || f.LimitsKnown()
-	return !f.stopping.Load() && f.Tables.Table() != nil && informed && f.keysFresh()
+	limitsKnown := f.LimitsKnown == nil || f.LimitsKnown()
+	return !f.stopping.Load() && f.Tables.Table() != nil && limitsKnown && f.keysFresh()
 }
 
 // InFlight returns the number of requests being served.
@@ -112,7 +112,7 @@
 	return f.MaxKeyAge == 0 || t == nil || !t.Keyed || f.Tables.Age() < f.MaxKeyAge
 }
 
-// call is one request of a caller and the state of serving it.
+// call is one request of a caller and the state of serving it. Its times are those of Now.
 type call struct {
 	*Forwarder
 	w           http.ResponseWriter
@@ -126,8 +126,10 @@
 	body        []byte
 	// fingerprint is the same when the caller repeats the request.
 	fingerprint uint64
-	header      http.Header
-	deadline    time.Duration
+	// header is the header to forward, without the fields that differ by upstream; nil until
+	// it is first used.
+	header   http.Header
+	deadline time.Duration
 	// arrivedAt is when the request arrived. firstEventLatency is the time from then to the
 	// first event; 0 before it.
 	arrivedAt, firstEventLatency time.Duration
@@ -138,8 +140,8 @@
 	runs, rejected int
 	// ranOn lists the first upstreams of the stream's attempts that may have run, in order.
 	ranOn []string
-	// sentOnce is set once the request was sent to an upstream.
-	sentOnce bool
+	// wasSent is set once the request was sent to an upstream.
+	wasSent bool
 	// lastEventID is the id of the last event that the caller has; at first the one that the
 	// caller names in Last-Event-Id.
 	lastEventID eventID
@@ -402,7 +404,7 @@
 
 // refuseExpired refuses a request whose deadline has passed.
 func (k *call) refuseExpired() {
-	if k.runs == 0 && !k.sentOnce {
+	if k.runs == 0 && !k.wasSent {
 		k.refuse(admitter.ReasonQueueFull, "time is over before it was sent")
 		return
 	}
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, k.classifyError(ctx, l, err)
 	}
-	k.sentOnce = true
+	k.wasSent = true
 	k.observeLimit(l, resp.Response, sent)
 	body, err := io.ReadAll(io.LimitReader(resp, maxAnswerBytes))
 	whole := resp.Done()
@@ -97,7 +97,7 @@
 		e = &connector.Error{Sent: true}
 	}
 	if e.Sent {
-		k.sentOnce = true
+		k.wasSent = true
 	}
 	if ctx.Err() == nil {
 		if e.DialFailed {
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -180,9 +180,9 @@
 	if !f.Balancer.Eject(f.Now(), id) {
 		return
 	}
-	moved := f.streamsThrough(id)
-	f.Log.Warn().Str("upstream", id).Str("address", s.Address).Int("streams", len(moved)).Msg("forwarder: upstream out of reach of other upstreams")
-	for _, a := range moved {
+	streams := f.streamsThrough(id)
+	f.Log.Warn().Str("upstream", id).Str("address", s.Address).Int("streams", len(streams)).Msg("forwarder: upstream out of reach of other upstreams")
+	for _, a := range streams {
 		go f.reroute(ctx, a, h)
 	}
 }
@@ -286,9 +286,9 @@
 	for _, other := range f.Balancer.CorrelatedSuspects(f.Now(), h.ID) {
 		f.probe(ctx, other, probeInterval)
 	}
-	moved := f.streamsThrough(h.ID)
-	f.Log.Warn().Str("upstream", h.ID).Str("address", h.Address).Int("streams", len(moved)).Msg("forwarder: silent upstream out")
-	for _, a := range moved {
+	streams := f.streamsThrough(h.ID)
+	f.Log.Warn().Str("upstream", h.ID).Str("address", h.Address).Int("streams", len(streams)).Msg("forwarder: silent upstream out")
+	for _, a := range streams {
 		if !isTimeout(dialErr) && !a.begun.Load() {
 			f.addStrike(a.id, a.fingerprint, h)
 		}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -216,14 +216,14 @@
 		return k.classifyError(ctx, l, err)
 	}
 	defer resp.Done()
-	k.sentOnce = true
+	k.wasSent = true
 	k.observeLimit(l, resp.Response, a.sentAt)
 	if resp.StatusCode != http.StatusOK {
 		return k.handleNonStream(a, resp)
 	}
 	if resp.Header.Get(k.Headers.Stamp) == "" || resp.Header.Get("Content-Encoding") != "" {
 		k.Balancer.RecordFailure(l.First.ID)
-		k.logAttempt(l, "stream without signature", nil)
+		k.logAttempt(l, "stream has no signature", nil)
 		return verdictMayHaveRun
 	}
 	v := k.relay(ctx, a, resp)
