--- a/streamer/client.go
+++ b/streamer/client.go
@@ -21,7 +21,7 @@
 // ErrNotSent means that no byte of the request reached an upstream.
 var ErrNotSent = errors.New("streamer: request not sent")
 
-// Frames is the stream of one attempt.
+// Frames is the stream of one attempt's frames.
 type Frames interface {
 	// Next returns the next frame, which is valid until the following call. The error is io.EOF
 	// at the end of the stream and io.ErrUnexpectedEOF when the stream was cut within a frame.
--- a/streamer/streamer.go
+++ b/streamer/streamer.go
@@ -120,8 +120,8 @@
 	LastFailure *Failure
 }
 
-// Streamer runs jobs. It is safe for concurrent use; the fields up to StallFloor are set before
-// the first Run.
+// Streamer runs jobs. It is safe for concurrent use; the fields up to MinStallTimeout are set
+// before the first Run.
 type Streamer struct {
 	Engine  Engine
 	Router  Router
