--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -109,7 +109,7 @@
 }
 
 // Admitter grants slots of type T, such as a route, and queues the requests for which there is
-// none. It is safe for concurrent use; Queued is set before use.
+// none. It is safe for concurrent use; MaxQueued is set before use.
 type Admitter[T any] struct {
 	// MaxQueued is the maximum number of waiting requests over all groups.
 	MaxQueued int
@@ -357,8 +357,8 @@
 	return a.arrivedAt.Before(b.arrivedAt)
 }
 
-// RetryBudget limits retries to a fraction of the successful requests, so that a failing upstream can't
-// multiply the load on the others. Earn and Spend are safe for concurrent use.
+// RetryBudget limits retries to a fraction of the successful requests, so that a failing upstream
+// can't multiply the load on the others. Earn and Spend are safe for concurrent use.
 type RetryBudget struct {
 	// Ratio is the number of retries that each success earns.
 	Ratio float64
--- a/admitter/latency.go
+++ b/admitter/latency.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// StreamLimiter is an adaptive limit on the streams that a host has in flight, which keeps their events
-// in time.
+// StreamLimiter is an adaptive limit on the streams that a host has in flight, which keeps their
+// events in time.
 //
 // Beyond the engines' capacity each further stream slows every batch, until no answer is in time.
 // The limit decreases while streams are late, and increases while they are in time and it is
 // reached. It is safe for concurrent use; the zero value is ready to use.
 type StreamLimiter struct {
 	mu sync.Mutex
-	// limit is the maximum in flight; 0 before the first call of Enter.
+	// limit is the maximum in flight; 0 before the first call of TryAcquire.
 	limit    float64
 	inFlight int
 	// lateShare is the smoothed share of late streams, from 0 to 1.
@@ -67,8 +67,8 @@
 	initialLimit = 1e6
 )
 
-// TryAcquire admits a stream, and returns false when the limit is reached. Each admitted stream must
-// Leave.
+// TryAcquire admits a stream, and returns false when the limit is reached. Release must be called for
+// each admitted stream.
 func (l *StreamLimiter) TryAcquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/admitter/limits.go
+++ b/admitter/limits.go
@@ -26,7 +26,7 @@
 	// workspaces holds the limited workspaces in the order of the configuration, byName the same.
 	workspaces []*workspaceLimit
 	byName     map[string]*workspaceLimit
-	// measuredAt is when Measure or Configure was last called.
+	// measuredAt is when MeasureDemand or Configure was last called.
 	measuredAt time.Time
 }
 
@@ -35,7 +35,7 @@
 	name string
 	// limit is the requests a second over all hosts.
 	limit float64
-	// requests counts the requests since the last Measure; demand is their smoothed rate a
+	// requests counts the requests since the last MeasureDemand; demand is their smoothed rate a
 	// second.
 	requests float64
 	demand   float64
@@ -44,7 +44,7 @@
 }
 
 // Configure sets the workspaces and their limits; one without a limit is not limited. A known
-// workspace keeps its share until the next call of Share.
+// workspace keeps its share until the next call of SetShares.
 func (l *RateLimiter) Configure(now time.Time, hosts int, workspaces []builder.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/admitter/window.go
+++ b/admitter/window.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// WindowRetryBudget is a retry budget over a sliding window: all hosts together may make a fraction of the
-// requests in the window as retries, plus a fixed number. It needs no messages between hosts: each
-// one keeps to the ratio of its own requests and to its share of the fixed number, so that the
-// total is kept. It is safe for concurrent use; the exported fields are set before use.
+// WindowRetryBudget is a retry budget over a sliding window: all hosts together may make retries
+// for a fraction of the requests in the window, plus a fixed number. It needs no messages between
+// hosts: each one keeps to the ratio of its own requests and to its share of the fixed number, so
+// that the total is kept. It is safe for concurrent use; the exported fields are set before use.
 type WindowRetryBudget struct {
 	// Ratio is the number of retries that each request allows.
 	Ratio float64
@@ -20,7 +20,8 @@
 	// Hosts returns the number of hosts that share Fixed; nil means 1.
 	Hosts func() int
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// seconds holds the counts of each second in the window, the oldest first.
 	seconds []counts
 	// lastSecond is the time in seconds that the last element of seconds counts.
 	lastSecond int64
