--- a/gossiper/demand.go
+++ b/gossiper/demand.go
@@ -6,22 +6,23 @@
 	"github.com/sardineward/sardineward/peer"
 )
 
-// leak pulls an average back towards the host's own demand at each exchange.
-// A host that dies takes its part of the sum with it, and a lost answer changes
-// one side of a pair only; without the leak such an error would stay for ever.
-const leak = 0.02
+// leakPerUpdate is the fraction by which each call of set moves an average back towards the
+// host's own demand. A host that dies takes its part of the sum with it, and a lost response
+// changes only one side of a pair; without the leak such errors would never decay.
+const leakPerUpdate = 0.02
 
-// demandTable estimates the mean demand of each workspace over all hosts by
-// pairwise averaging: in each exchange both sides move to the mean of the two.
-// What a host adds itself is its change of demand since it last looked.
+// demandTable estimates the mean demand of each workspace over all hosts by pairwise averaging:
+// in an exchange both sides move to the mean of their estimates. A host adds changes of its own
+// demand to its estimate. The zero value is ready to use.
 type demandTable struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// list is the hash of the list of workspaces that own and average follow.
 	list uint32
-	// own is this host's demand, average its estimate of the mean.
+	// own is this host's demand and average its estimate of the mean, in requests per second.
 	own, average []float32
 }
 
-// set takes in this host's demand, in the order of the list.
+// set updates this host's demand. For another list than before the estimates start anew.
 func (t *demandTable) set(list uint32, own []float32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,13 +34,13 @@
 	}
 	for i, d := range own {
 		t.average[i] += d - t.own[i]
-		t.average[i] += leak * (d - t.average[i])
+		t.average[i] += leakPerUpdate * (d - t.average[i])
 		t.own[i] = d
 	}
 }
 
-// read copies the estimates; nil when they are of another list.
-func (t *demandTable) read(list uint32) []float32 {
+// estimates returns a copy of the estimated means, or nil when they are of another list.
+func (t *demandTable) estimates(list uint32) []float32 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.list != list {
@@ -48,7 +49,7 @@
 	return append([]float32(nil), t.average...)
 }
 
-// message is what this host tells a peer.
+// message returns the estimates to send to a peer, or nil before the first set.
 func (t *demandTable) message() *peer.Demands {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,8 +59,9 @@
 	return &peer.Demands{List: t.list, Averages: append([]float32(nil), t.average...)}
 }
 
-// answer averages with what a peer sent, and returns what this host had before.
-func (t *demandTable) answer(in *peer.Demands) *peer.Demands {
+// averageWith moves the estimates halfway to those of a peer, and returns the estimates from
+// before as the response. It returns nil and changes nothing for another list.
+func (t *demandTable) averageWith(in *peer.Demands) *peer.Demands {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if in == nil || in.List != t.list || len(in.Averages) != len(t.average) {
@@ -72,9 +74,9 @@
 	return out
 }
 
-// settle moves by half of the difference between what the peer had and what
-// this host had sent; changes of its own in between are kept.
-func (t *demandTable) settle(sent, got *peer.Demands) {
+// applyAnswer moves the estimates by half the difference between what the peer had, got, and
+// what this host sent. Changes that this host made since it sent them are kept.
+func (t *demandTable) applyAnswer(sent, got *peer.Demands) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if sent == nil || got == nil || got.List != t.list || sent.List != t.list || len(got.Averages) != len(t.average) {
--- a/gossiper/exchange.go
+++ b/gossiper/exchange.go
@@ -8,17 +8,17 @@
 	"github.com/sardineward/sardineward/peer"
 )
 
-// probeNext exchanges news with the next host in turn, and suspects it when
-// neither this host nor two others reach it.
+// probeNext exchanges updates with the next host in the probe order, and marks it suspect when
+// neither this host nor any relay can reach it.
 func (g *Gossiper) probeNext(ctx context.Context) {
 	it := g.nextTarget()
 	if it == nil {
 		return
 	}
-	if g.exchange(ctx, it.Host.GetAddress(), g.state.News(messageBytes), true) {
+	if g.exchange(ctx, it.Host.GetAddress(), g.state.News(maxMessageBytes), true) {
 		return
 	}
-	if ctx.Err() != nil || g.relay(ctx, it) {
+	if ctx.Err() != nil || g.probeIndirectly(ctx, it) {
 		return
 	}
 	cur := g.state.Get(peer.ItemKind_ITEM_KIND_HOST, it.Key)
@@ -26,47 +26,50 @@
 		return
 	}
 	g.Log.Info().Str("host", it.Key).Msg("gossiper: host suspected")
-	g.Publish(false, verdict(cur, HostSuspect, time.Time{}))
+	g.Publish(false, withState(cur, HostSuspect, time.Time{}))
 }
 
-// nextTarget walks all hosts in a random order that is drawn anew each round,
-// so that every host is probed within two rounds at the most.
+// nextTarget returns the next host to probe, or nil when there is none. It iterates over all hosts
+// in a random order that is shuffled again after each round, so that the probes of a host are at
+// most two rounds apart.
 func (g *Gossiper) nextTarget() *peer.Item {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for range 2 {
-		for g.turn < len(g.order) {
-			name := g.order[g.turn]
-			g.turn++
+		for g.nextProbe < len(g.probeOrder) {
+			name := g.probeOrder[g.nextProbe]
+			g.nextProbe++
 			it := g.state.Get(peer.ItemKind_ITEM_KIND_HOST, name)
 			if it != nil && StateOf(it) != HostDead {
 				return it
 			}
 		}
-		g.shuffle()
+		g.shuffleProbeOrder()
 	}
 	return nil
 }
 
-func (g *Gossiper) shuffle() {
-	g.order = g.order[:0]
-	g.turn = 0
+// shuffleProbeOrder starts a new round over the hosts that are not dead; it is called with mu held.
+func (g *Gossiper) shuffleProbeOrder() {
+	g.probeOrder = g.probeOrder[:0]
+	g.nextProbe = 0
 	for _, it := range g.state.All(peer.ItemKind_ITEM_KIND_HOST) {
 		if StateOf(it) != HostDead && it.Key != g.Self {
-			g.order = append(g.order, it.Key)
+			g.probeOrder = append(g.probeOrder, it.Key)
 		}
 	}
-	g.Rand.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
+	g.Rand.Shuffle(len(g.probeOrder), func(i, j int) { g.probeOrder[i], g.probeOrder[j] = g.probeOrder[j], g.probeOrder[i] })
 }
 
-// exchange makes one call both ways and reports whether the peer answered.
-func (g *Gossiper) exchange(ctx context.Context, address string, items []*peer.Item, full bool) bool {
+// exchange sends items to a peer, merges what it answers, and reports whether it answered within
+// a period. With withDigest set the peer also compares digests and sends items that differ.
+func (g *Gossiper) exchange(ctx context.Context, address string, items []*peer.Item, withDigest bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, g.Period)
 	defer cancel()
 	req := &peer.ExchangeRequest{From: g.Self, Items: items, Revision: g.revision()}
-	if full {
+	if withDigest {
 		req.Digest = g.state.Digest()
-		if g.probes.Add(1)%demandEvery == 0 {
+		if g.digestExchanges.Add(1)%demandEveryExchanges == 0 {
 			req.Demands = g.demand.message()
 		}
 	}
@@ -74,43 +77,45 @@
 	if err != nil {
 		return false
 	}
-	g.take(resp.Items, true)
-	g.hearRevision(resp.Revision)
-	if full {
-		g.demand.settle(req.Demands, resp.Demands)
+	g.receive(resp.Items, true)
+	g.observeRevision(resp.Revision)
+	if withDigest {
+		g.demand.applyAnswer(req.Demands, resp.Demands)
 	}
-	if resp.Differing >= bulkFrom && g.mayFetch() {
-		g.fetch(ctx, address)
+	if resp.Differing >= fullSyncMinBuckets && g.allowFullSync() {
+		g.fullSync(ctx, address)
 	}
 	return true
 }
 
-// mayFetch spaces bulk fetches. A data centre came back and hundreds of hosts
-// started at once; at a few hosts a message, they took minutes to know of each
-// other. Fetching the whole state from whoever has much that is new takes
-// seconds, and the spacing keeps it from costing more than the exchange does.
-func (g *Gossiper) mayFetch() bool {
+// allowFullSync reports whether an exchange may start a full sync, at most one in
+// fullSyncMinPeriods. When hundreds of hosts of a data centre start at once, repairing a few hosts
+// per message takes minutes, and a full sync seconds; the limit keeps full syncs from costing more
+// than the exchanges do.
+func (g *Gossiper) allowFullSync() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if time.Since(g.fetched) < bulkEvery*g.Period {
+	if time.Since(g.lastFullSync) < fullSyncMinPeriods*g.Period {
 		return false
 	}
-	g.fetched = time.Now()
+	g.lastFullSync = time.Now()
 	return true
 }
 
-func (g *Gossiper) relay(ctx context.Context, it *peer.Item) bool {
+// probeIndirectly asks random hosts to probe one that did not answer, and reports whether any of
+// them reached it.
+func (g *Gossiper) probeIndirectly(ctx context.Context, it *peer.Item) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*g.Period)
 	defer cancel()
-	helpers := g.draw(relays, it.Key)
-	reached := make(chan bool, len(helpers))
-	for _, h := range helpers {
+	relays := g.randomHosts(indirectProbes, it.Key)
+	reached := make(chan bool, len(relays))
+	for _, relay := range relays {
 		go func() {
-			resp, err := g.Dial(h.Host.GetAddress()).Relay(ctx, &peer.RelayRequest{Address: it.Host.GetAddress()})
+			resp, err := g.Dial(relay.Host.GetAddress()).Relay(ctx, &peer.RelayRequest{Address: it.Host.GetAddress()})
 			reached <- err == nil && resp.Reached
 		}()
 	}
-	for range helpers {
+	for range relays {
 		if <-reached {
 			return true
 		}
@@ -118,8 +123,9 @@
 	return false
 }
 
-// draw picks n random hosts that are not dead, without this one and another.
-func (g *Gossiper) draw(n int, without string) []*peer.Item {
+// randomHosts returns up to n random live hosts, except this one and the one named exclude. It
+// tries 4*n times, so it may return fewer than n hosts where few are live.
+func (g *Gossiper) randomHosts(n int, exclude string) []*peer.Item {
 	live := g.Live()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,15 +135,15 @@
 			break
 		}
 		it := live[g.Rand.IntN(len(live))]
-		if it.Key != g.Self && it.Key != without && !slices.Contains(out, it) {
+		if it.Key != g.Self && it.Key != exclude && !slices.Contains(out, it) {
 			out = append(out, it)
 		}
 	}
 	return out
 }
 
-// push hands urgent news to the sender.
-func (g *Gossiper) push(items []*peer.Item) {
+// queueUrgent adds items to the next urgent push and wakes sendUrgent.
+func (g *Gossiper) queueUrgent(items []*peer.Item) {
 	if len(items) == 0 {
 		return
 	}
@@ -145,40 +151,41 @@
 	g.urgent = append(g.urgent, items...)
 	g.mu.Unlock()
 	select {
-	case g.wake <- struct{}{}:
+	case g.urgentReady <- struct{}{}:
 	default:
 	}
 }
 
-// runUrgent passes news on as soon as there is any. Each host passes an item
-// on once, to fanout others, so news costs the fleet fanout messages a host.
-func (g *Gossiper) runUrgent(ctx context.Context) {
+// sendUrgent pushes urgent updates to random hosts until ctx ends, coalesceDelay after the first
+// is queued. Each host pushes an item once, to fanout others, so an update costs the fleet fanout
+// messages per host.
+func (g *Gossiper) sendUrgent(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.wake:
+		case <-g.urgentReady:
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(coalesce):
+		case <-time.After(coalesceDelay):
 		}
 		g.mu.Lock()
 		items := g.urgent
 		g.urgent = nil
 		g.mu.Unlock()
 		for batch := range slices.Chunk(items, 16) {
-			for _, it := range g.draw(fanout, "") {
+			for _, it := range g.randomHosts(fanout, "") {
 				go g.exchange(ctx, it.Host.GetAddress(), batch, false)
 			}
 		}
 	}
 }
 
-// heal tries a host thought dead, or a peer of the settings. Two halves of a
-// partition each think the other dead; without this neither would ever ask.
-func (g *Gossiper) heal(ctx context.Context) {
+// reconnect exchanges updates with a random dead host or configured peer. After a partition each
+// side holds the other for dead and does not probe it, so without this they would stay apart.
+func (g *Gossiper) reconnect(ctx context.Context) {
 	var addresses []string
 	for _, it := range g.state.All(peer.ItemKind_ITEM_KIND_HOST) {
 		if StateOf(it) == HostDead {
@@ -193,55 +200,56 @@
 	address := addresses[g.Rand.IntN(len(addresses))]
 	g.mu.Unlock()
 	if address != g.Host.Address {
-		g.exchange(ctx, address, g.state.News(messageBytes), true)
+		g.exchange(ctx, address, g.state.News(maxMessageBytes), true)
 	}
 }
 
-// join fetches the whole state from the first peer that answers.
+// join fetches the whole state from the first configured peer that answers, in random order.
 func (g *Gossiper) join(ctx context.Context) {
 	g.mu.Lock()
 	order := g.Rand.Perm(len(g.Peers))
 	g.mu.Unlock()
 	for _, i := range order {
-		if g.Peers[i] != g.Host.Address && g.sync(ctx, g.Peers[i]) {
+		if g.Peers[i] != g.Host.Address && g.joinThrough(ctx, g.Peers[i]) {
 			return
 		}
 	}
 }
 
-// joinAny fetches the state of a peer of the settings that is no host known
-// here, if any. Hosts that all start at once join each other in twos and threes;
-// such groups did not know of each other for ten seconds and more, until one of
-// them happened to try a peer of another.
-func (g *Gossiper) joinAny(ctx context.Context) {
+// joinUnknownPeer fetches the state of a random configured peer that is not known here, if any.
+// Hosts that start at once join in groups of two or three; without this the groups stay apart for
+// ten seconds or more, until one of them happens to try a peer of another group.
+func (g *Gossiper) joinUnknownPeer(ctx context.Context) {
 	known := map[string]bool{g.Host.Address: true}
 	for _, it := range g.state.All(peer.ItemKind_ITEM_KIND_HOST) {
 		known[it.Host.GetAddress()] = true
 	}
-	strangers := slices.DeleteFunc(slices.Clone(g.Peers), func(address string) bool { return known[address] })
-	if len(strangers) == 0 {
+	unknown := slices.DeleteFunc(slices.Clone(g.Peers), func(address string) bool { return known[address] })
+	if len(unknown) == 0 {
 		return
 	}
 	g.mu.Lock()
-	address := strangers[g.Rand.IntN(len(strangers))]
+	address := unknown[g.Rand.IntN(len(unknown))]
 	g.mu.Unlock()
-	g.sync(ctx, address)
+	g.joinThrough(ctx, address)
 }
 
-func (g *Gossiper) sync(ctx context.Context, address string) bool {
+// joinThrough announces this host to a peer and fetches the peer's whole state. It reports whether
+// both succeeded within five periods.
+func (g *Gossiper) joinThrough(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 5*g.Period)
 	defer cancel()
-	return g.exchange(ctx, address, g.state.News(messageBytes), false) && g.fetch(ctx, address)
+	return g.exchange(ctx, address, g.state.News(maxMessageBytes), false) && g.fullSync(ctx, address)
 }
 
-// fetch pages through the state of a peer.
-func (g *Gossiper) fetch(ctx context.Context, address string) bool {
+// fullSync fetches a peer's whole state page by page, and reports whether it got all of it.
+func (g *Gossiper) fullSync(ctx context.Context, address string) bool {
 	for page := int32(0); ; {
 		resp, err := g.Dial(address).Sync(ctx, &peer.SyncRequest{Page: page})
 		if err != nil {
 			return false
 		}
-		g.take(resp.Items, false)
+		g.receive(resp.Items, false)
 		page += int32(len(resp.Items))
 		if !resp.More {
 			return true
@@ -249,6 +257,7 @@
 	}
 }
 
+// revision returns the configuration revision in force on this host; 0 means none.
 func (g *Gossiper) revision() int64 {
 	if g.Revision == nil {
 		return 0
@@ -256,8 +265,8 @@
 	return g.Revision()
 }
 
-// hearRevision spreads a peer's revision when it is above all heard of.
-func (g *Gossiper) hearRevision(rev int64) {
+// observeRevision publishes a peer's configuration revision when it is the highest seen so far.
+func (g *Gossiper) observeRevision(rev int64) {
 	if rev == 0 {
 		return
 	}
@@ -267,31 +276,32 @@
 	}
 }
 
-// Exchange answers a probe.
+// Exchange implements peer.Peer: it answers a probe with recent updates and, when the request
+// carries a digest, with items of the buckets that differ.
 func (g *Gossiper) Exchange(_ context.Context, req *peer.ExchangeRequest) (*peer.ExchangeResponse, error) {
-	g.take(req.Items, true)
-	g.hearRevision(req.Revision)
+	g.receive(req.Items, true)
+	g.observeRevision(req.Revision)
 	resp := &peer.ExchangeResponse{Revision: g.revision()}
 	if len(req.Digest) == 0 {
 		return resp, nil
 	}
-	resp.Demands = g.demand.answer(req.Demands)
+	resp.Demands = g.demand.averageWith(req.Demands)
 	resp.Differing = int32(g.state.Differs(req.Digest))
-	resp.Items = g.state.News(messageBytes)
+	resp.Items = g.state.News(maxMessageBytes)
 	g.mu.Lock()
 	start := g.Rand.IntN(1 << 20)
 	g.mu.Unlock()
-	resp.Items = append(resp.Items, g.state.Differing(req.Digest, start, messageBytes)...)
+	resp.Items = append(resp.Items, g.state.Differing(req.Digest, start, maxMessageBytes)...)
 	return resp, nil
 }
 
-// Relay probes a third host.
+// Relay implements peer.Peer: it probes a third host and reports whether that answered.
 func (g *Gossiper) Relay(ctx context.Context, req *peer.RelayRequest) (*peer.RelayResponse, error) {
 	return &peer.RelayResponse{Reached: g.exchange(ctx, req.Address, nil, false)}, nil
 }
 
-// Sync returns one page of the state.
+// Sync implements peer.Peer: it returns one page of the state, from the item at req.Page on.
 func (g *Gossiper) Sync(_ context.Context, req *peer.SyncRequest) (*peer.SyncResponse, error) {
-	items, more := g.state.Page(int(max(0, req.Page)), pageBytes)
+	items, more := g.state.Page(int(max(0, req.Page)), maxPageBytes)
 	return &peer.SyncResponse{Items: items, More: more}, nil
 }
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -1,12 +1,14 @@
-// Package gossiper keeps the soft state that the hosts share: who is alive,
-// which upstream is down or leaving, which requests crashed what runs them,
-// which configuration revision exists, and how much each workspace asks for.
+// Package gossiper replicates soft state between entry hosts by gossip: which hosts are alive,
+// which upstreams are down or leaving, which requests were in flight when an upstream crashed,
+// the newest configuration revision, and the mean demand of each workspace.
 //
-// Each host probes one other a period and both tell what is new; a host that
-// can't be reached, not even through two others, becomes suspect, and dead when
-// it doesn't refute that. Urgent news is passed on at once to a few hosts. All
-// of it can be lost and is rebuilt. A caller sets the exported fields, mounts
-// the Gossiper behind peer.NewPeerServer, and calls Run.
+// Membership works as in SWIM. In every period each host probes one other host, and both send
+// each other recent updates. A host that answers neither the probe nor two indirect probes becomes
+// suspect, and is declared dead unless it refutes the suspicion in time. Urgent updates are also
+// pushed to a few random hosts at once. Nothing is persisted: state that is lost gets rebuilt.
+//
+// To use a Gossiper, set its exported fields, call Start, embed it in the host's implementation of
+// peer.Peer, and call Run.
 package gossiper
 
 import (
@@ -26,73 +28,77 @@
 
 //go:generate enumer -type HostState -trimprefix Host -transform title-lower -output hoststate_gen.go
 
-// HostState is what hosts think of one. A higher one wins within an
-// incarnation; a host refutes HostSuspect and HostDead by raising its own.
+// HostState is the state of a host in the view of the others. Within an incarnation the higher
+// state wins; a host refutes HostSuspect and HostDead by raising its incarnation.
 type HostState int32
 
-// The states of a host, as they stand in peer.Item.State.
+// The states of a host; peer.Item.State holds them as numbers.
 const (
-	// HostUnknown is no state.
+	// HostUnknown is the zero value; no host announces it.
 	HostUnknown HostState = iota
-	// HostAlive answers callers.
+	// HostAlive means that the host serves callers.
 	HostAlive
-	// HostLeaving stops, and answers only what it has.
+	// HostLeaving means that the host is draining: it finishes the requests that it has.
 	HostLeaving
-	// HostSuspect could not be reached, and has some periods to refute that.
+	// HostSuspect means that probes failed; the host has a few periods to refute it.
 	HostSuspect
-	// HostDead did not refute it.
+	// HostDead means that the host did not refute the suspicion in time.
 	HostDead
 )
 
-// StateOf is the state that an item about a host tells.
+// StateOf returns the state in an item of kind HOST.
 func StateOf(it *peer.Item) HostState { return HostState(it.State) }
 
 const (
-	// messageBytes bounds the items of one message.
-	messageBytes = 1200
-	// pageBytes bounds one page for a host that joins.
-	pageBytes = 64 << 10
-	// fanout is how many hosts urgent news is passed on to at once.
+	// maxMessageBytes bounds the updates, and separately the repairs, in one message.
+	maxMessageBytes = 1200
+	// maxPageBytes bounds one page of a full sync.
+	maxPageBytes = 64 << 10
+	// fanout is the number of random hosts to which urgent updates are pushed.
 	fanout = 3
-	// relays is how many hosts are asked to reach one that didn't answer.
-	relays = 2
-	// tombstone is how long a dead host is remembered, so that an old report
-	// of its life isn't taken for news.
-	tombstone = 10 * time.Minute
-	// healEvery is the number of periods between tries at a dead or settings
-	// peer, by which two halves of a partition find each other again.
-	healEvery = 5
-	// joinFor is the number of periods in which peers of the settings that are
-	// not known yet are tried each time; later they are most likely gone.
-	joinFor = 30
-	// bulkFrom is the number of differing buckets from which the whole state is
-	// fetched instead of repaired bit by bit, and bulkEvery how often at most.
-	bulkFrom  = digestBuckets / 4
-	bulkEvery = 5
-	// demandEvery is the number of probes between two that compare demands. At
-	// 220 workspaces those are 880 bytes each way, most of an exchange.
-	demandEvery = 2
-	// coalesce is how long urgent news waits for more of it.
-	coalesce = 10 * time.Millisecond
+	// indirectProbes is the number of hosts asked to probe one that didn't answer.
+	indirectProbes = 2
+	// tombstoneTTL is how long the item of a dead host is kept, so that a delayed report that
+	// it is alive is not mistaken for a new host.
+	tombstoneTTL = 10 * time.Minute
+	// reconnectEveryPeriods is the number of periods between attempts to reach a dead host or a
+	// configured peer, by which the sides of a partition find each other after it heals.
+	reconnectEveryPeriods = 5
+	// joinPeriods is the number of periods after the start in which a configured peer that is
+	// not known yet is tried in every period; peers still unknown after that are most likely
+	// gone, and are tried every reconnectEveryPeriods.
+	joinPeriods = 30
+	// fullSyncMinBuckets is the number of differing buckets from which the whole state is
+	// fetched instead of being repaired item by item. fullSyncMinPeriods is the least number of
+	// periods between two such fetches.
+	fullSyncMinBuckets = digestBuckets / 4
+	fullSyncMinPeriods = 5
+	// demandEveryExchanges sends demands in every nth exchange that carries a digest. At 220
+	// workspaces they take 880 bytes each way, most of an exchange.
+	demandEveryExchanges = 2
+	// coalesceDelay is how long urgent updates wait for others to be sent in the same message.
+	coalesceDelay = 10 * time.Millisecond
 )
 
-// Gossiper is one host's part in the exchange.
+// Gossiper takes part in the gossip protocol for one host; it implements the Exchange, Relay and
+// Sync calls of peer.Peer. The exported fields are set before Start and not changed after.
 type Gossiper struct {
-	// Self is this host's name, and Host what others need to know of it.
+	// Self is this host's name, and Host the address and location announced to the others.
 	Self string
 	Host *peer.Host
-	// Peers are addresses to join through.
+	// Peers are the addresses of configured peers, through which the host joins.
 	Peers []string
-	// Dial returns the client for a peer's address.
+	// Dial returns a client for a peer's address.
 	Dial func(address string) peer.Peer
-	// Period is the time between two probes, and the timeout of each.
+	// Period is the time between probes, and the timeout of each exchange.
 	Period time.Duration
-	// OnChange is called with items that were new, never concurrently with
-	// itself from one message. It must not block.
+	// OnChange, if set, is called with the items that changed or expired. Calls for the same
+	// message are never concurrent, calls for different messages may be. It must not block.
 	OnChange func([]*peer.Item)
-	// Revision returns the revision in force on this host.
+	// Revision returns the configuration revision in force on this host, 0 for none; nil means
+	// that it is always 0.
 	Revision func() int64
-	// Rand draws peers; it is used under mu.
+	// Rand picks random peers; it is used with mu held.
 	Rand *rand.Rand
 	Log  zerolog.Logger
 
@@ -100,33 +106,39 @@
 	demand      demandTable
 	incarnation atomic.Int64
 	leaving     atomic.Bool
-	probes      atomic.Int64
-	wake        chan struct{}
-
-	mu      sync.Mutex
-	urgent  []*peer.Item
-	order   []string
-	turn    int
-	suspect map[string]time.Time
-	live    []*peer.Item
-	// fetched is when the whole state was last fetched.
-	fetched time.Time
+	// digestExchanges counts the exchanges that this host started with a digest.
+	digestExchanges atomic.Int64
+	// urgentReady wakes sendUrgent after an item was added to urgent.
+	urgentReady chan struct{}
+
+	mu sync.Mutex
+	// urgent holds the items for the next urgent push.
+	urgent []*peer.Item
+	// probeOrder lists the hosts to probe in this round, nextProbe indexes the next one.
+	probeOrder []string
+	nextProbe  int
+	// suspectedAt is when each host that is suspect became so, by name.
+	suspectedAt map[string]time.Time
+	// liveCache is the result of Live; nil after a change of a host.
+	liveCache []*peer.Item
+	// lastFullSync is when an exchange last started a full sync.
+	lastFullSync time.Time
 }
 
-// Start makes the host known to itself; call it before Run or any handler.
+// Start initialises the state and adds this host to it; call it before any other method.
 func (g *Gossiper) Start() {
 	g.state = NewState()
-	g.wake = make(chan struct{}, 1)
-	g.suspect = make(map[string]time.Time)
+	g.urgentReady = make(chan struct{}, 1)
+	g.suspectedAt = make(map[string]time.Time)
 	g.incarnation.Store(time.Now().UnixMilli())
 	g.announce()
 }
 
-// Run probes until ctx ends.
+// Run joins through the configured peers, then probes and expires items until ctx ends.
 func (g *Gossiper) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { g.runUrgent(ctx) })
+	wg.Go(func() { g.sendUrgent(ctx) })
 	g.join(ctx)
 	tick := time.NewTicker(g.Period)
 	defer tick.Stop()
@@ -137,58 +149,63 @@
 		case <-tick.C:
 		}
 		wg.Go(func() { g.probeNext(ctx) })
-		if n <= joinFor || n%healEvery == 0 {
-			wg.Go(func() { g.joinAny(ctx) })
+		if n <= joinPeriods || n%reconnectEveryPeriods == 0 {
+			wg.Go(func() { g.joinUnknownPeer(ctx) })
 		}
-		if n%healEvery == 0 {
-			wg.Go(func() { g.heal(ctx) })
+		if n%reconnectEveryPeriods == 0 {
+			wg.Go(func() { g.reconnect(ctx) })
 		}
-		g.judge()
-		g.changed(g.state.Expire(time.Now()))
+		g.declareDead()
+		g.handleChanges(g.state.Expire(time.Now()))
 	}
 }
 
-// Incarnation is this host's, raised whenever it refutes a report of its death.
+// Incarnation returns this host's incarnation. It starts as the Unix time in milliseconds and
+// rises when the host leaves or refutes a report that it is suspect or dead.
 func (g *Gossiper) Incarnation() int64 { return g.incarnation.Load() }
 
-// Leave tells the others that this host takes no new work.
+// Leave announces that this host is draining and takes no new work.
 func (g *Gossiper) Leave() {
 	g.leaving.Store(true)
 	g.incarnation.Add(1)
 	g.announce()
 }
 
-// Publish makes items known to all hosts; urgent ones are passed on at once.
+// Publish stores items and disseminates them to all hosts; with urgent set they are also pushed
+// to a few hosts at once.
 func (g *Gossiper) Publish(urgent bool, items ...*peer.Item) {
 	fresh := g.state.Merge(time.Now(), items, true)
-	g.changed(fresh)
+	g.handleChanges(fresh)
 	if urgent {
-		g.push(fresh)
+		g.queueUrgent(fresh)
 	}
 }
 
-// Get returns what is known under a key, or nil.
+// Get returns the item stored under a kind and key, or nil.
 func (g *Gossiper) Get(kind peer.ItemKind, key string) *peer.Item {
 	return g.state.Get(kind, key)
 }
 
-// All returns the items of a kind, ordered by key.
+// All returns the items of a kind, sorted by key.
 func (g *Gossiper) All(kind peer.ItemKind) []*peer.Item { return g.state.All(kind) }
 
-// SetDemand takes in this host's request rate of each workspace.
+// SetDemand updates this host's request rates, in requests per second. list is the hash of the
+// list of workspaces, whose order own follows.
 func (g *Gossiper) SetDemand(list uint32, own []float32) { g.demand.set(list, own) }
 
-// Demand returns the estimated mean over the hosts; nil for another list.
-func (g *Gossiper) Demand(list uint32) []float32 { return g.demand.read(list) }
+// Demand returns the estimated mean over all hosts of each workspace's request rate, in requests
+// per second and in the order of the list; nil when list is not the one last set.
+func (g *Gossiper) Demand(list uint32) []float32 { return g.demand.estimates(list) }
 
-// Live returns the hosts that answer callers, this one included, by name.
+// Live returns the items of the hosts that are neither leaving nor dead, including this one,
+// sorted by name. The slice is shared: callers must not change it.
 func (g *Gossiper) Live() []*peer.Item {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.live == nil {
-		g.live = g.computeLive()
+	if g.liveCache == nil {
+		g.liveCache = g.computeLive()
 	}
-	return g.live
+	return g.liveCache
 }
 
 func (g *Gossiper) computeLive() []*peer.Item {
@@ -198,8 +215,8 @@
 	})
 }
 
-// Owners returns the n live hosts of a data centre that a key falls to by
-// rendezvous hashing; an empty data centre means any.
+// Owners returns the names of the n live hosts of a data centre that own a key by rendezvous
+// hashing, best score first. It returns fewer when fewer are live; an empty data centre means any.
 func (g *Gossiper) Owners(key, dataCentre string, n int) []string {
 	type scored struct {
 		name  string
@@ -224,32 +241,32 @@
 	return out
 }
 
-// Owns reports whether a key falls to this host. It stops at the nth host that
-// the key falls to sooner, which for most keys comes early, so the answer
-// hardly grows dearer with the number of hosts.
+// Owns reports whether this host is one of the n live hosts of a data centre that own a key; an
+// empty data centre means any. It returns at the nth host with a higher score, which for most keys
+// comes early, so the cost hardly grows with the number of hosts.
 func (g *Gossiper) Owns(key, dataCentre string, n int) bool {
 	own := score(key, g.Self)
-	before := 0
-	self := false
+	ahead := 0
+	live := false
 	for _, it := range g.Live() {
 		if dataCentre != "" && it.Host.GetDataCentre() != dataCentre {
 			continue
 		}
 		if it.Key == g.Self {
-			self = true
+			live = true
 			continue
 		}
 		if score(key, it.Key) > own {
-			before++
+			ahead++
 		}
-		if before >= n {
+		if ahead >= n {
 			return false
 		}
 	}
-	return self
+	return live
 }
 
-// score orders hosts by rendezvous hashing.
+// score is the rendezvous hash of a key and a host; the hosts with the highest scores own the key.
 func score(key, host string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
@@ -258,8 +275,7 @@
 	return d.Sum64()
 }
 
-// Client returns the client for a host by name, or nil when it is not known or
-// dead.
+// Client returns a client for the named host, or nil when the host is unknown or dead.
 func (g *Gossiper) Client(name string) peer.Peer {
 	it := g.state.Get(peer.ItemKind_ITEM_KIND_HOST, name)
 	if it == nil || StateOf(it) == HostDead {
@@ -268,9 +284,8 @@
 	return g.Dial(it.Host.GetAddress())
 }
 
-// ClientAt is Client, but for a host that is not known here yet and can be asked
-// at the address that it gave elsewhere. One that joined a moment ago is known
-// to others only after some exchanges.
+// ClientAt is like Client, but dials address when the host is not known here yet: other hosts
+// learn of a host that has just joined only after some exchanges. An empty address means none.
 func (g *Gossiper) ClientAt(name, address string) peer.Peer {
 	if address != "" && g.state.Get(peer.ItemKind_ITEM_KIND_HOST, name) == nil {
 		return g.Dial(address)
@@ -278,6 +293,7 @@
 	return g.Client(name)
 }
 
+// announce publishes this host's own item, with its current incarnation.
 func (g *Gossiper) announce() {
 	st := HostAlive
 	if g.leaving.Load() {
@@ -292,32 +308,33 @@
 	})
 }
 
-// take merges what a peer told. A report that this host is suspect or dead is
-// refuted at once with a higher incarnation.
-func (g *Gossiper) take(items []*peer.Item, news bool) {
-	fresh := g.state.Merge(time.Now(), items, news)
+// receive merges items from a peer and pushes the urgent ones on when disseminate is set. A
+// report about this host that supersedes its own item is refuted at once.
+func (g *Gossiper) receive(items []*peer.Item, disseminate bool) {
+	fresh := g.state.Merge(time.Now(), items, disseminate)
 	if len(fresh) == 0 {
 		return
 	}
-	g.changed(fresh)
-	if !news {
-		g.refuteIn(fresh)
+	g.handleChanges(fresh)
+	if !disseminate {
+		g.refuteOwnReports(fresh)
 		return
 	}
-	var pass []*peer.Item
+	var urgent []*peer.Item
 	for _, it := range fresh {
 		if it.Kind == peer.ItemKind_ITEM_KIND_HOST && it.Key == g.Self {
 			g.refute(it)
 			continue
 		}
-		if urgency(it.Kind) > 0 || StateOf(it) == HostLeaving {
-			pass = append(pass, it)
+		if priority(it.Kind) > 0 || StateOf(it) == HostLeaving {
+			urgent = append(urgent, it)
 		}
 	}
-	g.push(pass)
+	g.queueUrgent(urgent)
 }
 
-func (g *Gossiper) refuteIn(items []*peer.Item) {
+// refuteOwnReports refutes the items that are about this host.
+func (g *Gossiper) refuteOwnReports(items []*peer.Item) {
 	for _, it := range items {
 		if it.Kind == peer.ItemKind_ITEM_KIND_HOST && it.Key == g.Self {
 			g.refute(it)
@@ -325,6 +342,8 @@
 	}
 }
 
+// refute raises this host's incarnation above that of a report about it, and announces it. A
+// report of an earlier incarnation needs no answer.
 func (g *Gossiper) refute(it *peer.Item) {
 	for {
 		old := g.incarnation.Load()
@@ -335,11 +354,13 @@
 			break
 		}
 	}
-	g.Log.Info().Int64("incarnation", g.incarnation.Load()).Msg("gossiper: refuted own death")
+	g.Log.Info().Int64("incarnation", g.incarnation.Load()).Msg("gossiper: refuted a report about this host")
 	g.announce()
 }
 
-func (g *Gossiper) changed(items []*peer.Item) {
+// handleChanges updates what is derived from host items that changed or expired, and calls
+// OnChange.
+func (g *Gossiper) handleChanges(items []*peer.Item) {
 	if len(items) == 0 {
 		return
 	}
@@ -348,10 +369,10 @@
 		if it.Kind != peer.ItemKind_ITEM_KIND_HOST {
 			continue
 		}
-		g.live = nil
-		delete(g.suspect, it.Key)
+		g.liveCache = nil
+		delete(g.suspectedAt, it.Key)
 		if StateOf(it) == HostSuspect {
-			g.suspect[it.Key] = time.Now()
+			g.suspectedAt[it.Key] = time.Now()
 		}
 	}
 	g.mu.Unlock()
@@ -360,14 +381,14 @@
 	}
 }
 
-// judge declares suspects dead that had their time to refute.
-func (g *Gossiper) judge() {
+// declareDead publishes the hosts as dead that stayed suspect for the suspicion timeout.
+func (g *Gossiper) declareDead() {
 	now := time.Now()
 	g.mu.Lock()
-	patience := g.patience()
+	timeout := g.suspicionTimeout()
 	var dead []string
-	for name, since := range g.suspect {
-		if now.Sub(since) >= patience {
+	for name, since := range g.suspectedAt {
+		if now.Sub(since) >= timeout {
 			dead = append(dead, name)
 		}
 	}
@@ -377,19 +398,22 @@
 		if it == nil || StateOf(it) != HostSuspect {
 			continue
 		}
-		g.Log.Info().Str("host", name).Msg("gossiper: host dead")
-		g.Publish(true, verdict(it, HostDead, now.Add(tombstone)))
+		g.Log.Info().Str("host", name).Msg("gossiper: host declared dead")
+		g.Publish(true, withState(it, HostDead, now.Add(tombstoneTTL)))
 	}
 }
 
-// patience is how long a suspect has to refute: two periods, longer as the
-// news of its suspicion takes longer to reach it.
-func (g *Gossiper) patience() time.Duration {
-	hops := math.Log2(float64(max(2, len(g.order))))
+// suspicionTimeout is how long a suspect has to refute: two periods and half a period for each
+// gossip hop, since the suspicion has to reach the suspect first, rounded down to whole periods.
+// It is called with mu held.
+func (g *Gossiper) suspicionTimeout() time.Duration {
+	hops := math.Log2(float64(max(2, len(g.probeOrder))))
 	return g.Period * time.Duration(2+hops/2)
 }
 
-func verdict(it *peer.Item, st HostState, expires time.Time) *peer.Item {
+// withState returns a copy of a host's item with another state and expiry; the zero time means
+// that it never expires.
+func withState(it *peer.Item, st HostState, expires time.Time) *peer.Item {
 	out := &peer.Item{Kind: it.Kind, Key: it.Key, Incarnation: it.Incarnation, State: int32(st), Host: it.Host}
 	if !expires.IsZero() {
 		out.Expires = expires.UnixMilli()
--- a/gossiper/join_test.go
+++ b/gossiper/join_test.go
@@ -9,7 +9,8 @@
 	"github.com/sardineward/sardineward/gossiper"
 )
 
-// TestStartedAtOnce guards against hosts started at once that know only of their pair.
+// TestStartedAtOnce checks that hosts which start at once and first reach only the other host
+// of their pair know of all hosts within three periods after the pairs can reach each other.
 func TestStartedAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -20,12 +21,12 @@
 					g.Rand = rand.New(rand.NewPCG(seed, uint64(i)))
 				}
 				pair := map[string]int{"host-0": 0, "host-1": 0, "host-2": 1, "host-3": 1}
-				m.setCut(func(from, to string) bool { return pair[from] != pair[to] })
+				m.setPartition(func(from, to string) bool { return pair[from] != pair[to] })
 				stop := m.start()
 				defer stop()
-				m.await(t, 12*period, m.sees(2))
-				m.setCut(nil)
-				m.await(t, 3*period, func(g *gossiper.Gossiper) bool { return len(g.Live()) == 4 })
+				m.awaitAll(t, 12*period, m.seesHosts(2))
+				m.setPartition(nil)
+				m.awaitAll(t, 3*period, func(g *gossiper.Gossiper) bool { return len(g.Live()) == 4 })
 			})
 		})
 	}
--- a/gossiper/sizes_test.go
+++ b/gossiper/sizes_test.go
@@ -22,8 +22,8 @@
 	return []int{4, 50}
 }
 
-// processTime is the processor time of this process so far.
-func processTime() time.Duration {
+// cpuTime returns the CPU time that this process has used, user and system; 0 on an error.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -31,8 +31,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// TestMergeOrder checks that hosts end with the same state, whatever the order
-// in which items come, and however often.
+// TestMergeOrder checks that hosts converge to the same state whatever the order in which
+// items arrive, and however often.
 func TestMergeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		items := rapid.SliceOfN(rapid.Custom(drawItem), 1, 30).Draw(t, "items")
@@ -44,11 +44,11 @@
 		b.Merge(now, items, false)
 		for i, h := range a.Digest() {
 			if b.Digest()[i] != h {
-				t.Fatalf("digests differ")
+				t.Fatalf("digests of the two states differ")
 			}
 		}
 		if d := a.Differing(b.Digest(), 0, 1<<20); len(d) != 0 {
-			t.Fatalf("states differ in %v", d)
+			t.Fatalf("states differ in items %v", d)
 		}
 	})
 }
@@ -63,8 +63,8 @@
 	}
 }
 
-// hosts is a state that holds n hosts.
-func hosts(n int) *gossiper.State {
+// stateWithHosts returns a state that holds n live hosts.
+func stateWithHosts(n int) *gossiper.State {
 	s := gossiper.NewState()
 	for i := range n {
 		s.Merge(time.Now(), []*peer.Item{{
@@ -75,15 +75,15 @@
 	return s
 }
 
-// BenchmarkState measures what knowing n hosts costs: bytes and time for each,
-// and the bytes that a joining host fetches.
+// BenchmarkState measures the cost of holding n hosts: memory and time per host, and the bytes
+// that a joining host fetches.
 func BenchmarkState(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 3200, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			var s *gossiper.State
 			for b.Loop() {
-				s = hosts(n)
+				s = stateWithHosts(n)
 			}
 			bytes := 0
 			for from := 0; ; {
@@ -102,12 +102,12 @@
 	}
 }
 
-// BenchmarkOwns measures the choice of who does what, at n live hosts.
+// BenchmarkOwns measures how long Owns takes with n live hosts.
 func BenchmarkOwns(b *testing.B) {
 	for _, n := range []int{10, 100, 400, 3200} {
 		m := newMesh(1)
 		g := m.list[0]
-		for _, it := range hosts(n).All(peer.ItemKind_ITEM_KIND_HOST) {
+		for _, it := range stateWithHosts(n).All(peer.ItemKind_ITEM_KIND_HOST) {
 			g.Publish(false, it)
 		}
 		keys := make([]string, 1000)
@@ -122,10 +122,10 @@
 	}
 }
 
-// BenchmarkDigest measures what one exchange reads of the state.
+// BenchmarkDigest measures the state's part of one exchange between hosts that agree.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
-		s := hosts(n)
+		s := stateWithHosts(n)
 		digest := s.Digest()
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -14,44 +14,50 @@
 	"github.com/sardineward/sardineward/peer"
 )
 
-// digestBuckets is how many hashes describe the state. At 3,200 hosts a bucket
-// holds some 50 hosts, about 4 KB, so a difference is repaired in a few
-// exchanges.
+// digestBuckets is the number of buckets into which the items are hashed; a digest holds one
+// hash for each. At 3,200 hosts a bucket holds about 50 hosts, or 4 KB, so a few exchanges
+// repair a difference.
 const digestBuckets = 64
 
+// itemKey identifies an item: keys are unique within a kind.
 type itemKey struct {
 	kind peer.ItemKind
 	key  string
 }
 
-type stored struct {
+// storedItem is an item with what is derived from it once, when it is merged.
+type storedItem struct {
 	item *peer.Item
-	// hash is what the item adds to its bucket's digest.
+	// hash is XORed into the digest of the item's bucket.
 	hash uint32
-	// size is the item's bytes in a message.
+	// size is the item's encoded size in a message, in bytes, with its tag and length.
 	size int
 }
 
-// State is what a host knows of the others: a last-writer-wins map of items,
-// with a digest to find differences, and a queue of what is still news.
+// State is a host's replica of the gossiped items: a last-writer-wins map, a digest by which
+// two hosts find differences, and the recent updates that are still being disseminated. It is
+// safe for concurrent use; NewState makes one.
 type State struct {
-	mu     sync.Mutex
-	items  map[itemKey]*stored
+	mu    sync.Mutex
+	items map[itemKey]*storedItem
+	// digest holds, for each bucket, the XOR of the hashes of its items.
 	digest [digestBuckets]uint32
-	hosts  int
-	// news counts how often an item was sent since it changed.
-	news map[itemKey]int
+	// hostCount is the number of items of kind HOST, in any state.
+	hostCount int
+	// updateSends holds the items to be disseminated, with how often each was sent since it
+	// changed.
+	updateSends map[itemKey]int
 }
 
 // NewState returns an empty state.
 func NewState() *State {
-	return &State{items: make(map[itemKey]*stored), news: make(map[itemKey]int)}
+	return &State{items: make(map[itemKey]*storedItem), updateSends: make(map[itemKey]int)}
 }
 
-// Merge takes in items and returns those that were new or newer. They are passed
-// on to others as news, unless they came in bulk: whoever lacks those finds that
-// by its digest.
-func (s *State) Merge(now time.Time, items []*peer.Item, news bool) []*peer.Item {
+// Merge stores the items that are new or supersede a stored one, and returns them. With
+// disseminate set they are also queued for other hosts. Items of a full sync are not queued:
+// a host that lacks them finds out by comparing digests. Items that have expired are ignored.
+func (s *State) Merge(now time.Time, items []*peer.Item, disseminate bool) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var changed []*peer.Item
@@ -60,15 +66,16 @@
 			continue
 		}
 		changed = append(changed, it)
-		if news {
-			s.news[itemKey{it.Kind, it.Key}] = 0
+		if disseminate {
+			s.updateSends[itemKey{it.Kind, it.Key}] = 0
 		}
 	}
 	return changed
 }
 
+// merge stores an item and reports whether it changed the state; it is called with mu held.
 func (s *State) merge(now time.Time, it *peer.Item) bool {
-	if lapsed(now, it) {
+	if isExpired(now, it) {
 		return false
 	}
 	k := itemKey{it.Kind, it.Key}
@@ -79,25 +86,26 @@
 	if old != nil {
 		s.remove(k, old)
 	}
-	st := &stored{item: it, hash: hashItem(it), size: proto.Size(it) + 3}
+	st := &storedItem{item: it, hash: hashItem(it), size: proto.Size(it) + 3}
 	s.items[k] = st
 	s.digest[bucketOf(k)] ^= st.hash
 	if it.Kind == peer.ItemKind_ITEM_KIND_HOST {
-		s.hosts++
+		s.hostCount++
 	}
 	return true
 }
 
-func (s *State) remove(k itemKey, st *stored) {
+// remove deletes a stored item and takes it out of the digest; it is called with mu held.
+func (s *State) remove(k itemKey, st *storedItem) {
 	delete(s.items, k)
 	s.digest[bucketOf(k)] ^= st.hash
 	if k.kind == peer.ItemKind_ITEM_KIND_HOST {
-		s.hosts--
+		s.hostCount--
 	}
 }
 
-// newer orders items of one key: a higher incarnation wins, then a higher
-// state, then a later expiry, so that every host ends with the same one.
+// newer reports whether a supersedes b, an item of the same key: a higher incarnation wins,
+// then a higher state, then a later expiry. The order is total, so all hosts converge.
 func newer(a, b *peer.Item) bool {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
@@ -106,26 +114,27 @@
 	) > 0
 }
 
-func lapsed(now time.Time, it *peer.Item) bool {
+// isExpired reports whether an item has expired at now; an Expires of 0 means never.
+func isExpired(now time.Time, it *peer.Item) bool {
 	return it.Expires != 0 && it.Expires <= now.UnixMilli()
 }
 
-// Expire drops items that have lapsed and returns them.
+// Expire removes the items that have expired at now and returns them.
 func (s *State) Expire(now time.Time) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var gone []*peer.Item
+	var removed []*peer.Item
 	for k, st := range s.items {
-		if lapsed(now, st.item) {
+		if isExpired(now, st.item) {
 			s.remove(k, st)
-			delete(s.news, k)
-			gone = append(gone, st.item)
+			delete(s.updateSends, k)
+			removed = append(removed, st.item)
 		}
 	}
-	return gone
+	return removed
 }
 
-// Get returns an item, or nil.
+// Get returns the item stored under a kind and key, or nil.
 func (s *State) Get(kind peer.ItemKind, key string) *peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +144,7 @@
 	return nil
 }
 
-// All returns the items of a kind, ordered by key.
+// All returns the items of a kind, sorted by key.
 func (s *State) All(kind peer.ItemKind) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,14 +158,15 @@
 	return out
 }
 
-// Digest returns the hash of each bucket.
+// Digest returns a copy of the digest: the hash of each bucket, in bucket order.
 func (s *State) Digest() []uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.digest[:])
 }
 
-// Differs counts the buckets whose hash is not the given one.
+// Differs returns the number of buckets whose hash differs from that in digest. Buckets that
+// digest lacks are not counted.
 func (s *State) Differs(digest []uint32) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,64 +179,65 @@
 	return n
 }
 
-// News returns what others may not have heard yet, the least sent first, in at
-// most budget bytes. Each item is sent about the logarithm of the number of
-// hosts times, after which nearly all have it; the digest repairs the rest.
+// News returns the recent updates to send next, in at most budget bytes: by priority, then the
+// least often sent first. Each is sent 2 + log2(hosts) times or so, after which nearly all hosts
+// have it; comparing digests repairs the rest.
 func (s *State) News(budget int) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.news) == 0 {
+	if len(s.updateSends) == 0 {
 		return nil
 	}
-	keys := make([]itemKey, 0, len(s.news))
-	for k := range s.news {
+	keys := make([]itemKey, 0, len(s.updateSends))
+	for k := range s.updateSends {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b itemKey) int {
 		return cmp.Or(
-			cmp.Compare(urgency(b.kind), urgency(a.kind)),
-			cmp.Compare(s.news[a], s.news[b]),
+			cmp.Compare(priority(b.kind), priority(a.kind)),
+			cmp.Compare(s.updateSends[a], s.updateSends[b]),
 			cmp.Compare(a.key, b.key),
 		)
 	})
-	limit := 2 + bits.Len(uint(s.hosts))
+	limit := 2 + bits.Len(uint(s.hostCount))
 	var out []*peer.Item
 	for _, k := range keys {
 		st := s.items[k]
-		if st == nil || s.news[k] >= limit {
-			delete(s.news, k)
+		if st == nil || s.updateSends[k] >= limit {
+			delete(s.updateSends, k)
 			continue
 		}
 		if budget -= st.size; budget < 0 {
 			break
 		}
-		s.news[k]++
+		s.updateSends[k]++
 		out = append(out, st.item)
 	}
 	return out
 }
 
-// Differing returns items of buckets whose hash is not the given one, in at
-// most budget bytes. start rotates which bucket comes first, so that a bucket
-// too large for one message is not sent over and over in the same part.
-func (s *State) Differing(digest []uint32, start, budget int) []*peer.Item {
+// Differing returns items of the buckets whose hash differs from that in digest, in at most
+// budget bytes. offset is the position among these items from which to start, modulo their
+// number; callers vary it so that a set too large for one message gets sent in full over time.
+// It returns nil for a digest of another number of buckets.
+func (s *State) Differing(digest []uint32, offset, budget int) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(digest) != digestBuckets {
 		return nil
 	}
-	var differ [digestBuckets]bool
-	any := false
+	var differing [digestBuckets]bool
+	found := false
 	for i, h := range digest {
-		differ[i] = h != s.digest[i]
-		any = any || differ[i]
+		differing[i] = h != s.digest[i]
+		found = found || differing[i]
 	}
-	if !any {
+	if !found {
 		return nil
 	}
 	var keys []itemKey
 	for k := range s.items {
-		if differ[bucketOf(k)] {
+		if differing[bucketOf(k)] {
 			keys = append(keys, k)
 		}
 	}
@@ -235,7 +246,7 @@
 	})
 	var out []*peer.Item
 	for i := range keys {
-		st := s.items[keys[(i+start)%len(keys)]]
+		st := s.items[keys[(i+offset)%len(keys)]]
 		if budget -= st.size; budget < 0 {
 			break
 		}
@@ -244,11 +255,11 @@
 	return out
 }
 
-// Page returns the items from the given position on, in at most budget bytes,
-// and whether there are more.
-func (s *State) Page(from, budget int) (items []*peer.Item, more bool) {
-	all := s.everything()
-	for i := from; i < len(all); i++ {
+// Page returns the items from offset on, in order of kind and key, and whether more follow. It
+// returns at most budget bytes, but always at least one item when there is one.
+func (s *State) Page(offset, budget int) (items []*peer.Item, more bool) {
+	all := s.sortedItems()
+	for i := offset; i < len(all); i++ {
 		if budget -= all[i].size; budget < 0 && len(items) > 0 {
 			return items, true
 		}
@@ -257,7 +268,8 @@
 	return items, false
 }
 
-func (s *State) everything() []*stored {
+// sortedItems returns all items, sorted by kind and key.
+func (s *State) sortedItems() []*storedItem {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := make([]itemKey, 0, len(s.items))
@@ -267,16 +279,16 @@
 	slices.SortFunc(keys, func(a, b itemKey) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.key, b.key))
 	})
-	out := make([]*stored, len(keys))
+	out := make([]*storedItem, len(keys))
 	for i, k := range keys {
 		out[i] = s.items[k]
 	}
 	return out
 }
 
-// urgency puts what changes where requests may go before what changes who
-// answers whom.
-func urgency(kind peer.ItemKind) int {
+// priority is the rank by which kinds of items are disseminated, highest first. Items that
+// change which upstreams may get requests come before items about hosts, which have rank 0.
+func priority(kind peer.ItemKind) int {
 	switch kind {
 	case peer.ItemKind_ITEM_KIND_LEAVING, peer.ItemKind_ITEM_KIND_STRIKE:
 		return 2
@@ -287,10 +299,12 @@
 	}
 }
 
+// bucketOf returns the index of the digest bucket that a key falls into.
 func bucketOf(k itemKey) int {
 	return int(xxhash.Sum64String(k.key)>>7) % digestBuckets
 }
 
+// hashItem hashes the fields by which items of a key are told apart.
 func hashItem(it *peer.Item) uint32 {
 	var b []byte
 	b = strconv.AppendInt(b, int64(it.Kind), 10)
