--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -19,110 +19,112 @@
 	id, path, key string
 	host          int
 	sent, ended   time.Time
-	// forced is set where the balancer had to use hosts that were not ready.
-	forced bool
-	// status is 0 when no answer came; body is what came.
+	// fallback is set when the load balancer also used hosts that were not ready.
+	fallback bool
+	// status is 0 when no response came; body is as much as was received.
 	status int
 	body   string
 	err    error
 }
 
-// incident is a time in which something was harmed.
+// incident is an injected fault and the time for which it lasted.
 type incident struct {
 	from, to time.Time
-	// what names the fault, host the one that it befell; -1 is all.
-	what string
-	host int
-	// planned is set for what operators do.
+	// fault is the kind of the fault, host the number of the host that it affects; -1 is all.
+	fault string
+	host  int
+	// planned is set for operations that operators plan, such as a stop.
 	planned bool
 }
 
-// ledger collects what happened, for the checks at the end.
-type ledger struct {
+// history records the requests and faults of a run, for the checks at the end.
+type history struct {
 	mu        sync.Mutex
 	calls     []call
 	incidents []incident
-	// revoked and left are when keys and upstreams were taken away, as
-	// acknowledged by the store; moved is when the moving route changed.
-	revoked, left map[string]time.Time
-	exits         []string
+	// revokedAt and leftAt are when the store accepted that a key was revoked or an upstream
+	// began to leave.
+	revokedAt, leftAt map[string]time.Time
+	// badExits describes the planned stops that took too long or failed.
+	badExits []string
 }
 
-func newLedger() *ledger {
-	return &ledger{revoked: make(map[string]time.Time), left: make(map[string]time.Time)}
+func newHistory() *history {
+	return &history{revokedAt: make(map[string]time.Time), leftAt: make(map[string]time.Time)}
 }
 
-func (l *ledger) add(c call) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.calls = append(l.calls, c)
+func (h *history) addCall(c call) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls = append(h.calls, c)
 }
 
-func (l *ledger) note(i incident) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.incidents = append(l.incidents, i)
+func (h *history) addIncident(i incident) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.incidents = append(h.incidents, i)
 }
 
-// settle is how long after a fault what it broke may still show.
-const settle = 3 * time.Second
+// settleTime is how long after its end a fault may still have effects.
+const settleTime = 3 * time.Second
 
-// calm reports whether no unplanned fault touched a host between two times.
-func (l *ledger) calm(host int, from, to time.Time) bool {
-	for _, i := range l.incidents {
-		if !i.planned && (i.host < 0 || i.host == host) && i.from.Before(to) && i.to.Add(settle).After(from) {
+// undisturbed reports whether no unplanned fault could affect a host between two times, settleTime
+// after the fault included.
+func (h *history) undisturbed(host int, from, to time.Time) bool {
+	for _, i := range h.incidents {
+		if !i.planned && (i.host < 0 || i.host == host) && i.from.Before(to) && i.to.Add(settleTime).After(from) {
 			return false
 		}
 	}
 	return true
 }
 
-// inTouch reports whether neither a host nor its link to the store was harmed
-// between two times.
-func (l *ledger) inTouch(host int, from, to time.Time) bool {
-	for _, i := range l.incidents {
-		if i.host == host && i.from.Before(to) && i.to.Add(settle).After(from) {
+// connected reports whether no fault of a host's process or of its link to the store, planned ones
+// included, lay between two times or ended less than settleTime before.
+func (h *history) connected(host int, from, to time.Time) bool {
+	for _, i := range h.incidents {
+		if i.host == host && i.from.Before(to) && i.to.Add(settleTime).After(from) {
 			return false
 		}
 	}
 	return true
 }
 
-// check returns what was broken.
-func (l *ledger) check(w *world) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// check returns a description of each violation of a guarantee.
+func (h *history) check(cl *cluster) []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var out []string
-	found := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
+	report := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	runs := make(map[string]int)
-	for _, u := range w.ups {
+	for _, u := range cl.upstreams {
 		for _, s := range u.stage.Seen() {
 			if s.Ran {
 				runs[s.RequestID]++
 			}
 			if s.Key != "" {
-				found("%s was shown the key of %s", u.ID, s.RequestID)
+				report("upstream %s received the caller's key with request %s", u.ID, s.RequestID)
 			}
 		}
 	}
-	for i := range l.calls {
-		l.checkCall(&l.calls[i], runs[l.calls[i].id], found)
+	for i := range h.calls {
+		h.checkCall(&h.calls[i], runs[h.calls[i].id], report)
 	}
-	l.checkMoving(found)
-	l.checkLeaving(w, found)
-	l.checkLimits(w, found)
-	for _, text := range l.exits {
-		found("%s", text)
+	h.checkMovedRoute(report)
+	h.checkLeaving(cl, report)
+	h.checkLimits(cl, report)
+	for _, text := range h.badExits {
+		report("%s", text)
 	}
 	return out
 }
 
-// calmCalls counts requests that nothing unplanned befell, under keys that were
-// never taken away, and those of them that were answered.
-func (l *ledger) calmCalls() (sent, answered int) {
-	for i := range l.calls {
-		c := &l.calls[i]
-		if _, gone := l.revoked[c.key]; gone || c.forced || !l.calm(c.host, c.sent, c.ended) {
+// countUndisturbed counts the undisturbed requests with keys that were never revoked, and those of
+// them that were answered in full. Requests sent in a fallback don't count.
+func (h *history) countUndisturbed() (sent, answered int) {
+	for i := range h.calls {
+		c := &h.calls[i]
+		if _, gone := h.revokedAt[c.key]; gone || c.fallback || !h.undisturbed(c.host, c.sent, c.ended) {
 			continue
 		}
 		sent++
@@ -133,28 +135,30 @@
 	return sent, answered
 }
 
-func (l *ledger) checkCall(c *call, runs int, found func(string, ...any)) {
+// checkCall reports violations by a single request; runs is how often upstreams ran it.
+func (h *history) checkCall(c *call, runs int, report func(string, ...any)) {
 	if strings.HasPrefix(c.path, "/book/") && runs > 1 {
-		found("booking %s ran %d times", c.id, runs)
+		report("booking %s ran %d times", c.id, runs)
 	}
 	switch c.status {
 	case 503, 429, 421, 408:
 		if runs > 0 && !strings.HasPrefix(c.path, "/look/") && !strings.HasPrefix(c.path, "/moving/") {
-			found("%s %s was refused with %d as not run, and ran", c.path, c.id, c.status)
+			report("%s %s was refused with %d as not run, but ran", c.path, c.id, c.status)
 		}
 	case 200:
-		l.checkBody(c, found)
+		h.checkBody(c, report)
 	}
-	if at, ok := l.revoked[c.key]; ok && c.sent.After(at.Add(revokeAfter)) && runs > 0 {
-		found("%s ran with %s, sent %v after it was taken away", c.id, c.key, c.sent.Sub(at))
+	if at, ok := h.revokedAt[c.key]; ok && c.sent.After(at.Add(revokeTimeout)) && runs > 0 {
+		report("request %s ran with %s, sent %v after the key was revoked", c.id, c.key, c.sent.Sub(at))
 	}
 	if c.status == 0 && c.err != nil {
-		l.checkCut(c, found)
+		h.checkConnectionError(c, report)
 	}
 }
 
-// checkBody: the answer is the caller's own and whole.
-func (l *ledger) checkBody(c *call, found func(string, ...any)) {
+// checkBody reports an answer that is incomplete or belongs to another request. A stream may break
+// off with an error, but the events before must be the right ones.
+func (h *history) checkBody(c *call, report func(string, ...any)) {
 	if strings.HasPrefix(c.path, "/stream/") {
 		rest := c.body
 		for n := 1; rest != ""; n++ {
@@ -162,124 +166,127 @@
 			var ok bool
 			if rest, ok = strings.CutPrefix(rest, event); !ok {
 				if c.err == nil {
-					found("stream %s: want event %d, have %.40q", c.id, n, rest)
+					report("stream %s: want event %d, got %.40q", c.id, n, rest)
 				}
 				return
 			}
 		}
 		if c.err == nil && !strings.HasSuffix(c.body, "event 20\n\n") {
-			found("stream %s ended as whole after %d bytes", c.id, len(c.body))
+			report("stream %s ended without an error, but incomplete, after %d bytes", c.id, len(c.body))
 		}
 		return
 	}
 	if c.err == nil && !strings.HasSuffix(c.body, " to "+c.id) {
-		found("%s got the answer %q", c.id, c.body)
+		report("request %s got the wrong or an incomplete answer: %q", c.id, c.body)
 	}
 }
 
-// checkCut: a planned stop alone breaks no connection with a request on it.
-func (l *ledger) checkCut(c *call, found func(string, ...any)) {
-	if !l.calm(c.host, c.sent, c.ended) {
+// checkConnectionError reports a request that failed without a response during a planned operation
+// on its host, when no unplanned fault could have caused it.
+func (h *history) checkConnectionError(c *call, report func(string, ...any)) {
+	if !h.undisturbed(c.host, c.sent, c.ended) {
 		return
 	}
-	// Seed 49: three of four hosts were stopped at once, so that the balancer used
-	// all, and callers came to one between its end and its next start. What no
-	// process has taken is not cut off.
-	if c.forced && errors.Is(c.err, syscall.ECONNREFUSED) {
+	// With most hosts stopped at once (seed 49: three of four) the load balancer uses all of them,
+	// also one that has ended and not started again. A refused connection reached no process.
+	if c.fallback && errors.Is(c.err, syscall.ECONNREFUSED) {
 		return
 	}
-	for _, i := range l.incidents {
+	for _, i := range h.incidents {
 		if i.planned && i.host == c.host && c.sent.Before(i.to) && c.ended.After(i.from) {
-			found("%s %s was cut off by %s: %v", c.path, c.id, i.what, c.err)
+			report("%s %s was cut off by %s: %v", c.path, c.id, i.fault, c.err)
 		}
 	}
 }
 
-// checkMoving: once a host has answered by the newer service of a route, it
-// answers by the older one no more.
-func (l *ledger) checkMoving(found func(string, ...any)) {
+// checkMovedRoute reports a host that went back to an older configuration: once a host has answered
+// from the new service of a moved route, it must not answer from the old one.
+func (h *history) checkMovedRoute(report func(string, ...any)) {
+	// slack is how long after its first answer from the new service a host is not checked.
 	const slack = 250 * time.Millisecond
 	first := make(map[int]time.Time)
-	for _, c := range l.calls {
+	for _, c := range h.calls {
 		if c.status == 200 && strings.HasPrefix(c.body, "answer of other") {
 			if at, ok := first[c.host]; !ok || c.ended.Before(at) {
 				first[c.host] = c.ended
 			}
 		}
 	}
-	for _, c := range l.calls {
+	for _, c := range h.calls {
 		at, ok := first[c.host]
 		if !ok || !strings.HasPrefix(c.path, "/moving/") || c.status != 200 || !strings.HasPrefix(c.body, "answer of desk") {
 			continue
 		}
-		if c.sent.After(at.Add(slack)) && !l.restarted(c.host, at, c.sent) {
-			found("%s: host %d went back to an older configuration", c.id, c.host)
+		if c.sent.After(at.Add(slack)) && !h.restarted(c.host, at, c.sent) {
+			report("request %s: host %d went back to an older configuration", c.id, c.host)
 		}
 	}
 }
 
-func (l *ledger) restarted(host int, from, to time.Time) bool {
-	for _, i := range l.incidents {
-		if i.host == host && (i.what == "kill" || i.what == "stop") && i.from.Before(to) && i.to.After(from) {
+// restarted reports whether a host was killed or stopped between two times.
+func (h *history) restarted(host int, from, to time.Time) bool {
+	for _, i := range h.incidents {
+		if i.host == host && (i.fault == "kill" || i.fault == "stop") && i.from.Before(to) && i.to.After(from) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkLeaving: an upstream that leaves gets nothing after a while from a host
-// that was not harmed meanwhile.
-func (l *ledger) checkLeaving(w *world, found func(string, ...any)) {
-	hosts := make(map[string]int, len(l.calls))
-	for _, c := range l.calls {
+// checkLeaving reports requests that an upstream got more than leaveTimeout after it began to leave,
+// from hosts that were connected all the while.
+func (h *history) checkLeaving(cl *cluster, report func(string, ...any)) {
+	hosts := make(map[string]int, len(h.calls))
+	for _, c := range h.calls {
 		hosts[c.id] = c.host
 	}
-	for _, u := range w.ups {
-		at, ok := l.left[u.ID]
+	for _, u := range cl.upstreams {
+		at, ok := h.leftAt[u.ID]
 		if !ok {
 			continue
 		}
-		at = l.written(at)
+		at = h.writtenAt(at)
 		for _, s := range u.stage.Seen() {
-			if s.At.After(at.Add(leaveAfter)) && l.inTouch(hosts[s.RequestID], at.Add(-settle), s.At) {
-				found("%s got %s by host %d %v after it began to leave", u.ID, s.RequestID, hosts[s.RequestID], s.At.Sub(at))
+			if s.At.After(at.Add(leaveTimeout)) && h.connected(hosts[s.RequestID], at.Add(-settleTime), s.At) {
+				report("upstream %s got request %s from host %d, %v after it began to leave", u.ID, s.RequestID, hosts[s.RequestID], s.At.Sub(at))
 			}
 		}
 	}
 }
 
-// restoreFault is the store that comes back from a copy.
+// restoreFault names the fault in which the store is restored from a snapshot.
 const restoreFault = "restore"
 
-// written is when what was written at a time could be read: it is written again where the
-// store was away then or soon after, and came back from a copy.
-func (l *ledger) written(at time.Time) time.Time {
-	for _, i := range l.incidents {
-		if i.what == restoreFault && i.from.Before(at.Add(leaveAfter)) && at.Before(i.to) {
+// writtenAt returns when a write at the given time became durable. A restore of the store that
+// starts before the write, or at most leaveTimeout after it, and ends after it, may lose the write,
+// which is then repeated when the restore ends.
+func (h *history) writtenAt(at time.Time) time.Time {
+	for _, i := range h.incidents {
+		if i.fault == restoreFault && i.from.Before(at.Add(leaveTimeout)) && at.Before(i.to) {
 			at = i.to
 		}
 	}
 	return at
 }
 
-// checkLimits: an upstream that names a limit gets no more from hosts that were told of it
-// and not harmed meanwhile.
-func (l *ledger) checkLimits(w *world, found func(string, ...any)) {
-	hosts := make(map[string]int, len(l.calls))
-	for _, c := range l.calls {
+// checkLimits reports upstreams that got more requests than the limit that they named allows, from
+// hosts that knew the limit and were connected all the while.
+func (h *history) checkLimits(cl *cluster, report func(string, ...any)) {
+	hosts := make(map[string]int, len(h.calls))
+	for _, c := range h.calls {
 		hosts[c.id] = c.host
 	}
-	for _, u := range w.ups {
+	for _, u := range cl.upstreams {
 		breaks := u.stage.LimitBreaks(func(one *faker.Seen) string {
 			host, ok := hosts[one.RequestID]
-			if !ok || !l.inTouch(host, one.At.Add(-settle), one.At) {
+			if !ok || !h.connected(host, one.At.Add(-settleTime), one.At) {
 				return ""
 			}
-			return w.hosts[host].name
+			return cl.hosts[host].name
 		})
 		if len(breaks) > 0 {
 			b := slices.MaxFunc(breaks, func(a, b faker.LimitBreak) int { return cmp.Compare(a.Got-a.Allowed, b.Got-b.Allowed) })
-			found("%s got %d requests in 4 s at a limit of %g a second, %d allowed", u.ID, b.Got, b.PerSecond, b.Allowed)
+			report("upstream %s got %d requests in 4 s at a limit of %g per second, want at most %d", u.ID, b.Got, b.PerSecond, b.Allowed)
 		}
 	}
 }
--- a/soaker/checks_test.go
+++ b/soaker/checks_test.go
@@ -11,17 +11,18 @@
 	"github.com/matryer/is"
 )
 
-var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
+func atSecond(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-// TestChecks: each promise that is broken is found, and none where it is kept.
-func TestChecks(t *testing.T) {
-	whole := ""
+// TestCheckCall checks that each violation by a request is reported, and that requests without one
+// are not.
+func TestCheckCall(t *testing.T) {
+	wholeStream := ""
 	for n := 1; n <= 20; n++ {
-		whole += fmt.Sprintf("id: %d\ndata: event %d\n\n", n, n)
+		wholeStream += fmt.Sprintf("id: %d\ndata: event %d\n\n", n, n)
 	}
-	stop := incident{from: at(10), to: at(18), what: "stop", planned: true}
+	stop := incident{from: atSecond(10), to: atSecond(18), fault: "stop", planned: true}
 	for _, tc := range []struct {
 		name      string
 		call      call
@@ -29,23 +30,23 @@
 		found     string
 	}{
 		{"own answer", call{path: "/look/", status: 200, body: "answer of desk-a to r"}, nil, ""},
-		{"another's answer", call{path: "/look/", status: 200, body: "answer of desk-a to other"}, nil, "got the answer"},
-		{"whole stream", call{path: "/stream/", status: 200, body: whole}, nil, ""},
-		{"event missing", call{path: "/stream/", status: 200, body: strings.Replace(whole, "id: 3\ndata: event 3\n\n", "", 1)}, nil, "want event 3"},
-		{"short stream taken for whole", call{path: "/stream/", status: 200, body: whole[:len("id: 1\ndata: event 1\n\n")]}, nil, "ended as whole"},
-		{"short stream that broke off", call{path: "/stream/", status: 200, body: whole[:40], err: errors.New("EOF")}, nil, ""},
-		{"refused and ran", call{path: "/book/", status: 503}, nil, "refused with 503 as not run, and ran"},
-		{"revoked in time", call{path: "/book/", key: "old", status: 200, body: "answer of desk-a to r", sent: at(24)}, nil, ""},
-		{"revoked too late", call{path: "/book/", key: "old", status: 200, body: "answer of desk-a to r", sent: at(26)}, nil, "after it was taken away"},
-		{"cut by a planned stop", call{path: "/look/", err: errors.New("EOF"), sent: at(11), ended: at(12)}, []incident{stop}, "was cut off by stop"},
-		{"refused at a host that is not ready", call{path: "/look/", err: syscall.ECONNREFUSED, forced: true, sent: at(11), ended: at(12)}, []incident{stop}, ""},
-		{"refused at a host in rotation", call{path: "/look/", err: syscall.ECONNREFUSED, sent: at(11), ended: at(12)}, []incident{stop}, "was cut off by stop"},
-		{"cut at a host that is not ready", call{path: "/look/", err: errors.New("EOF"), forced: true, sent: at(11), ended: at(12)}, []incident{stop}, "was cut off by stop"},
-		{"cut by a fault beside it", call{path: "/look/", err: errors.New("EOF"), sent: at(11), ended: at(12)}, []incident{stop, {from: at(11), to: at(12), what: "kill"}}, ""},
+		{"answer to another request", call{path: "/look/", status: 200, body: "answer of desk-a to other"}, nil, "got the wrong or an incomplete answer"},
+		{"whole stream", call{path: "/stream/", status: 200, body: wholeStream}, nil, ""},
+		{"event missing", call{path: "/stream/", status: 200, body: strings.Replace(wholeStream, "id: 3\ndata: event 3\n\n", "", 1)}, nil, "want event 3"},
+		{"short stream without an error", call{path: "/stream/", status: 200, body: wholeStream[:len("id: 1\ndata: event 1\n\n")]}, nil, "ended without an error, but incomplete"},
+		{"short stream with an error", call{path: "/stream/", status: 200, body: wholeStream[:40], err: errors.New("EOF")}, nil, ""},
+		{"refused and ran", call{path: "/book/", status: 503}, nil, "refused with 503 as not run, but ran"},
+		{"revoked in time", call{path: "/book/", key: "old", status: 200, body: "answer of desk-a to r", sent: atSecond(24)}, nil, ""},
+		{"revoked too late", call{path: "/book/", key: "old", status: 200, body: "answer of desk-a to r", sent: atSecond(26)}, nil, "after the key was revoked"},
+		{"cut by a planned stop", call{path: "/look/", err: errors.New("EOF"), sent: atSecond(11), ended: atSecond(12)}, []incident{stop}, "was cut off by stop"},
+		{"refused at a host that is not ready", call{path: "/look/", err: syscall.ECONNREFUSED, fallback: true, sent: atSecond(11), ended: atSecond(12)}, []incident{stop}, ""},
+		{"refused at a host in rotation", call{path: "/look/", err: syscall.ECONNREFUSED, sent: atSecond(11), ended: atSecond(12)}, []incident{stop}, "was cut off by stop"},
+		{"cut at a host that is not ready", call{path: "/look/", err: errors.New("EOF"), fallback: true, sent: atSecond(11), ended: atSecond(12)}, []incident{stop}, "was cut off by stop"},
+		{"cut during an unplanned fault", call{path: "/look/", err: errors.New("EOF"), sent: atSecond(11), ended: atSecond(12)}, []incident{stop, {from: atSecond(11), to: atSecond(12), fault: "kill"}}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newLedger()
-			l.revoked["old"] = at(20)
+			l := newHistory()
+			l.revokedAt["old"] = atSecond(20)
 			l.incidents = tc.incidents
 			tc.call.id = "r"
 			var got []string
--- a/soaker/doc.go
+++ b/soaker/doc.go
@@ -1,10 +1,17 @@
-// Package soaker runs the real program as several processes on one machine,
-// harms them and their links from outside, and checks what callers and upstreams
-// see against what is promised: no booking runs twice, what was refused as not
-// run never runs, answers are whole and the caller's own, a configuration never
-// goes back, a key that was taken away runs nothing, an upstream that leaves gets
-// nothing, and a planned stop cuts nothing off.
+// Package soaker is a fault-injection test of the real program. It runs several processes of it
+// on one machine, disturbs them and their network links from outside, and checks what callers
+// and upstreams saw against the guarantees of the program:
 //
-// A run is drawn from its seed: the same seed draws the same faults at the same
-// times. The processes run in real time, so what meets which request differs.
+//   - a booking runs at most once;
+//   - a request that was refused as not run never runs;
+//   - an answer is complete and belongs to the caller's own request;
+//   - a host never goes back to an older configuration;
+//   - a revoked key runs nothing;
+//   - an upstream that leaves gets no new requests;
+//   - an upstream gets no more requests than the limit that it names;
+//   - no upstream sees a caller's key;
+//   - a planned stop breaks no request.
+//
+// Everything random in a run comes from its seed, so the same seed injects the same faults at the
+// same times. The processes run in real time, so which requests a fault hits still varies.
 package soaker
--- a/soaker/proxy.go
+++ b/soaker/proxy.go
@@ -11,72 +11,74 @@
 
 //go:generate enumer -type Mode -trimprefix Mode -transform lower -output mode_gen.go
 
-// Mode is what a Proxy does to the connections through it.
+// Mode is how a Proxy treats the connections through it.
 type Mode int
 
-// The modes.
+// The modes of a Proxy; the zero value forwards.
 const (
-	// ModePass forwards.
+	// ModePass forwards data both ways.
 	ModePass Mode = iota
 	// ModeReset resets connections, open and new.
 	ModeReset
-	// ModeSilent forwards nothing, either way.
+	// ModeSilent drops data both ways and keeps connections open.
 	ModeSilent
-	// ModeOneWay loses what comes back: requests arrive, answers don't.
+	// ModeOneWay drops data from the server: requests arrive, responses don't.
 	ModeOneWay
-	// ModeSlow holds each piece up.
+	// ModeSlow delays each read by slowDelay.
 	ModeSlow
 )
 
-// slowBy is by how much ModeSlow holds a piece up: fifty times a link's delay.
-const slowBy = 50 * time.Millisecond
+// slowDelay is how long ModeSlow delays the data of each read: fifty times the delay of a link.
+const slowDelay = 50 * time.Millisecond
 
-// Proxy is a link on loopback that can be harmed from outside.
+// Proxy is a TCP proxy on loopback that simulates a network link with faults.
 type Proxy struct {
-	// Target is where it leads.
+	// Target is the address to which connections are forwarded.
 	Target string
 
-	l     net.Listener
-	mu    sync.Mutex
-	mode  Mode
+	listener net.Listener
+	mu       sync.Mutex
+	mode     Mode
+	// conns holds the open connections, those of clients and those to Target.
 	conns map[net.Conn]bool
 }
 
-// Start opens the link at an address and returns it.
+// Start listens on an address, accepts connections until Close, and returns the address.
 func (p *Proxy) Start(address string) (string, error) {
 	l, err := listen(address)
 	if err != nil {
 		return "", err
 	}
-	p.l = l
+	p.listener = l
 	p.conns = make(map[net.Conn]bool)
 	go p.accept()
 	return l.Addr().String(), nil
 }
 
-// Close ends the link and what is open.
+// Close stops listening and resets the open connections.
 func (p *Proxy) Close() {
-	_ = p.l.Close()
-	p.breakAll()
+	_ = p.listener.Close()
+	p.resetAll()
 }
 
-// Set changes the mode.
+// Set changes the mode for open and new connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	p.mode = m
 	p.mu.Unlock()
 	if m == ModeReset {
-		p.breakAll()
+		p.resetAll()
 	}
 }
 
-func (p *Proxy) is(m Mode) bool {
+func (p *Proxy) hasMode(m Mode) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode == m
 }
 
-func (p *Proxy) breakAll() {
+// resetAll resets the open connections.
+func (p *Proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -85,6 +87,7 @@
 	clear(p.conns)
 }
 
+// reset closes a TCP connection with RST, by a linger time of 0.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -94,50 +97,52 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.l.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.join(near)
+		go p.handle(client)
 	}
 }
 
-func (p *Proxy) join(near net.Conn) {
-	if p.is(ModeReset) {
-		reset(near)
+// handle connects a client's connection with Target and forwards until both directions have ended.
+func (p *Proxy) handle(client net.Conn) {
+	if p.hasMode(ModeReset) {
+		reset(client)
 		return
 	}
-	far, err := new(net.Dialer).DialContext(context.Background(), "tcp", p.Target)
+	server, err := new(net.Dialer).DialContext(context.Background(), "tcp", p.Target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	p.mu.Lock()
-	p.conns[near], p.conns[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go p.copy(far, near, false, done)
-	go p.copy(near, far, true, done)
+	go p.forward(server, client, false, done)
+	go p.forward(client, server, true, done)
 	<-done
 	<-done
 	p.mu.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
-	near.Close()
-	far.Close()
+	client.Close()
+	server.Close()
 }
 
-// copy forwards one way; back is the way of answers. An end of one way is passed
-// on as an end of both: HTTP closes whole connections.
-func (p *Proxy) copy(to, from net.Conn, back bool, done chan<- struct{}) {
+// forward forwards one direction, that of responses if fromServer is set, and signals done at its
+// end. The end of one direction closes the other connection as a whole, as HTTP has no half-closed
+// connections.
+func (p *Proxy) forward(to, from net.Conn, fromServer bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.is(ModeSilent) && (!back || !p.is(ModeOneWay)) {
-			if p.is(ModeSlow) {
-				time.Sleep(slowBy)
+		if n > 0 && !p.hasMode(ModeSilent) && (!fromServer || !p.hasMode(ModeOneWay)) {
+			if p.hasMode(ModeSlow) {
+				time.Sleep(slowDelay)
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
 				reset(from)
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -19,63 +19,66 @@
 	"github.com/sardineward/sardineward/platform"
 )
 
-// Run is one soak. The fields are set before Play.
+// Run is one fault-injection run. The exported fields are set before Play.
 type Run struct {
+	// Seed determines everything random; runs with the same seed inject the same faults.
 	Seed uint64
-	// Length is how long faults come.
+	// Length is how long faults are injected.
 	Length time.Duration
-	// Hosts is the number of processes of the program, Callers of requests at a
-	// time.
+	// Hosts is the number of processes of the program, Callers that of concurrent requests.
 	Hosts, Callers int
-	// Binary is the program, Dir where settings and logs go.
+	// Binary is the path of the program, Dir the directory for settings and logs.
 	Binary, Dir string
 	Log         zerolog.Logger
 
-	w *world
-	l *ledger
-	// out are the hosts that the balancer sends nothing to, by number.
-	mu  sync.Mutex
-	out map[int]bool
-	// restoring is held while the store goes back to a copy.
+	cluster *cluster
+	history *history
+	mu      sync.Mutex
+	// outOfRotation holds the numbers of the hosts to which the load balancer sends nothing.
+	outOfRotation map[int]bool
+	// restoring is held while the store is restored from a snapshot.
 	restoring sync.Mutex
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Calls is how many requests were sent, Answered those with a 2xx; Calm and
-	// CalmAnswered the same of those that nothing unplanned befell.
+	// Calls counts the requests sent, Answered those answered in full with status 200. Calm and
+	// CalmAnswered count the same among the undisturbed requests, which no unplanned fault
+	// could affect.
 	Calls, Answered, Calm, CalmAnswered int
-	Faults                              []string
-	// Broken are promises that were not kept.
+	// Faults lists the injected faults as kind@host; host -1 stands for all hosts.
+	Faults []string
+	// Broken describes each violation of a guarantee; it is empty when the run passed.
 	Broken []string
 }
 
 const (
-	// warmUp is how long hosts have to be ready before faults begin.
+	// warmUp is how long hosts have to become ready after their start.
 	warmUp = 3 * time.Second
-	// coolDown is how long after the last fault what is under way may end, and
-	// what was refused may show that it runs all the same.
+	// coolDown is how long after the last fault the run goes on, so that pending requests end and
+	// requests that were refused as not run are seen if they run after all.
 	coolDown = 6 * time.Second
-	// calmShare of the requests in calm times have to be answered: what stopped
-	// hosts and moved routes cost is far below the rest.
-	calmShare = 0.95
-	// callTimeout is the time that callers allow.
+	// minUndisturbedShare is the share of the undisturbed requests that must be answered.
+	// Stopped hosts and moved routes cost far less than the rest.
+	minUndisturbedShare = 0.95
+	// callTimeout is the client timeout of each request.
 	callTimeout = 6 * time.Second
 )
 
-// Play runs the soak and checks what was seen. When ctx ends it stops what it
-// started and returns early.
+// Play starts the cluster, sends requests and injects faults for Length, and checks what was
+// observed. When ctx ends it stops injecting and reports early. All that it started has ended
+// when it returns. An error means that the cluster could not be started.
 func (r *Run) Play(ctx context.Context) (*Report, error) {
 	var err error
-	if r.w, err = newWorld(r.Dir, r.Binary, r.Hosts, r.Seed); err != nil {
+	if r.cluster, err = newCluster(r.Dir, r.Binary, r.Hosts, r.Seed); err != nil {
 		return nil, err
 	}
-	defer r.w.close()
-	r.l = newLedger()
-	r.out = make(map[int]bool)
-	for _, h := range r.w.hosts {
-		if err := r.w.start(h); err != nil {
+	defer r.cluster.close()
+	r.history = newHistory()
+	r.outOfRotation = make(map[int]bool)
+	for _, h := range r.cluster.hosts {
+		if err := r.cluster.start(h); err != nil {
 			return nil, err
 		}
 	}
@@ -84,11 +87,11 @@
 	defer cancel()
 	var callers, faults sync.WaitGroup
 	for n := range r.Callers {
-		callers.Go(func() { r.call(ctx, n) })
+		callers.Go(func() { r.runCaller(ctx, n) })
 	}
-	callers.Go(func() { r.balance(ctx) })
-	callers.Go(func() { r.beat(ctx) })
-	faults.Go(func() { r.harm(ctx, &faults) })
+	callers.Go(func() { r.pollReadiness(ctx) })
+	callers.Go(func() { r.writeHeartbeats(ctx) })
+	faults.Go(func() { r.injectFaults(ctx, &faults) })
 	faults.Wait()
 	time.Sleep(coolDown)
 	cancel()
@@ -96,57 +99,59 @@
 	return r.report(), nil
 }
 
+// report checks the history and summarises it.
 func (r *Run) report() *Report {
-	out := &Report{Seed: r.Seed, Calls: len(r.l.calls), Broken: r.l.check(r.w)}
-	for _, c := range r.l.calls {
+	out := &Report{Seed: r.Seed, Calls: len(r.history.calls), Broken: r.history.check(r.cluster)}
+	for _, c := range r.history.calls {
 		if c.status == http.StatusOK && c.err == nil {
 			out.Answered++
 		}
 	}
-	for _, i := range r.l.incidents {
-		out.Faults = append(out.Faults, fmt.Sprintf("%s@%d", i.what, i.host))
+	for _, i := range r.history.incidents {
+		out.Faults = append(out.Faults, fmt.Sprintf("%s@%d", i.fault, i.host))
 	}
-	out.Calm, out.CalmAnswered = r.l.calmCalls()
-	if float64(out.CalmAnswered) < calmShare*float64(out.Calm) {
-		out.Broken = append(out.Broken, fmt.Sprintf("%d of %d requests in calm times were answered", out.CalmAnswered, out.Calm))
+	out.Calm, out.CalmAnswered = r.history.countUndisturbed()
+	if float64(out.CalmAnswered) < minUndisturbedShare*float64(out.Calm) {
+		out.Broken = append(out.Broken, fmt.Sprintf("too few undisturbed requests were answered: %d of %d", out.CalmAnswered, out.Calm))
 	}
 	return out
 }
 
-// call sends one request after the other over kept connections.
-func (r *Run) call(ctx context.Context, n int) {
+// runCaller sends requests one after the other over persistent connections until ctx ends. n is
+// the number of the caller.
+func (r *Run) runCaller(ctx context.Context, n int) {
 	rnd := rand.New(rand.NewPCG(r.Seed, uint64(n)+1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	paths := []string{"/look/", "/book/", "/moving/", "/stream/"}
 	for k := 0; ctx.Err() == nil; k++ {
-		c := call{id: fmt.Sprintf("%d-%d-%d", r.Seed, n, k), path: paths[rnd.IntN(len(paths))], key: keyName(rnd.IntN(keys))}
-		c.host, c.forced = r.pick(rnd)
+		c := call{id: fmt.Sprintf("%d-%d-%d", r.Seed, n, k), path: paths[rnd.IntN(len(paths))], key: keyName(rnd.IntN(keyCount))}
+		c.host, c.fallback = r.pickHost(rnd)
 		r.send(client, &c)
-		r.l.add(c)
+		r.history.addCall(c)
 		time.Sleep(time.Duration(rnd.IntN(20)) * time.Millisecond)
 	}
 }
 
-// pick chooses a host that is in the balancer's rotation. When fewer than half
-// are, it is any, and forced.
-func (r *Run) pick(rnd *rand.Rand) (n int, forced bool) {
+// pickHost picks a random host that is in the load balancer's rotation. When fewer than half are,
+// it picks among all hosts and reports that as a fallback.
+func (r *Run) pickHost(rnd *rand.Rand) (n int, fallback bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n = rnd.IntN(r.Hosts)
-	if 2*len(r.out) > r.Hosts {
+	if 2*len(r.outOfRotation) > r.Hosts {
 		return n, true
 	}
-	for r.out[n] {
+	for r.outOfRotation[n] {
 		n = (n + 1) % r.Hosts
 	}
 	return n, false
 }
 
-// balance asks each host whether it is ready, as the balancer does: two misses
-// take it out until it answers again.
-func (r *Run) balance(ctx context.Context) {
-	const period, timeout, most = time.Second, 500 * time.Millisecond, 2
+// pollReadiness polls the readiness endpoint of each host, as the load balancer does: two failures
+// in a row take a host out of rotation until it is ready again.
+func (r *Run) pollReadiness(ctx context.Context) {
+	const period, timeout, maxMisses = time.Second, 500 * time.Millisecond, 2
 	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	misses := make([]int, r.Hosts)
 	tick := time.NewTicker(period)
@@ -157,25 +162,26 @@
 			return
 		case <-tick.C:
 		}
-		for n, h := range r.w.hosts {
+		for n, h := range r.cluster.hosts {
 			if isReady(ctx, client, h) {
 				misses[n] = 0
 			} else {
 				misses[n]++
 			}
 			r.mu.Lock()
-			if misses[n] >= most {
-				r.out[n] = true
+			if misses[n] >= maxMisses {
+				r.outOfRotation[n] = true
 			} else {
-				delete(r.out, n)
+				delete(r.outOfRotation, n)
 			}
 			r.mu.Unlock()
 		}
 	}
 }
 
+// isReady reports whether the host's readiness endpoint answers with status 200.
 func isReady(ctx context.Context, client *http.Client, h *host) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.ready+platform.ReadyPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.readyAddress+platform.ReadyPath, nil)
 	if err != nil {
 		return false
 	}
@@ -187,6 +193,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// send sends the request of c and records its result in c.
 func (r *Run) send(client *http.Client, c *call) {
 	c.sent = time.Now()
 	defer func() { c.ended = time.Now() }()
@@ -194,14 +201,14 @@
 	if strings.HasPrefix(c.path, "/look/") {
 		method = http.MethodGet
 	}
-	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+r.w.hosts[c.host].callers+c.path+c.id, strings.NewReader("lot 12"))
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+r.cluster.hosts[c.host].callersAddress+c.path+c.id, strings.NewReader("lot 12"))
 	if err != nil {
 		c.err = err
 		return
 	}
-	// Without it the client sends a request again by itself, and its id runs twice.
+	// With GetBody set, the HTTP client may resend a request by itself, so that its id runs twice.
 	req.GetBody = nil
-	req.Host = hostName
+	req.Host = serviceHost
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	req.Header.Set(platform.Headers.RequestID, c.id)
 	req.Header.Set(platform.Headers.DeadlineMs, "5000")
@@ -216,165 +223,178 @@
 	c.body, c.err = string(body), err
 }
 
-// fault is one way to harm the world; it returns when it is over.
-type fault func(r *Run, rnd *rand.Rand, n int, lasts time.Duration)
+// faultFunc injects one fault and returns when it is over. n is the number of the host that it
+// affects, where it affects one host; rnd is its own source of randomness.
+type faultFunc func(r *Run, rnd *rand.Rand, n int, lasts time.Duration)
 
-// harm draws faults that come in series and overlap. Seeds differ in how many
-// kinds they draw from and how dense these come: with all kinds all the time a
-// promise that holds for calm hosts is never put to the test.
-func (r *Run) harm(ctx context.Context, wg *sync.WaitGroup) {
+// injectFaults injects random faults, which may overlap, until Length is over or ctx ends. The seed
+// also determines how many kinds of faults are used and how often they come: with all kinds all the
+// time, the guarantees for undisturbed hosts would never be tested.
+func (r *Run) injectFaults(ctx context.Context, wg *sync.WaitGroup) {
 	rnd := rand.New(rand.NewPCG(r.Seed, 0))
-	faults := []fault{kill, pause, stop, cutStore, crash, harmLink, leave, revoke, move, trouble, limit, restore}
+	faults := []faultFunc{killHost, pauseHost, stopHost, disruptStoreLink, crashUpstream, disruptUpstreamLink, leaveUpstream, revokeKeys, moveRoute, troubleUpstream, limitUpstream, restoreStore}
 	rnd.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
 	faults = faults[:3+rnd.IntN(len(faults)-2)]
-	rest := 300 + rnd.IntN(1500)
+	maxGapMs := 300 + rnd.IntN(1500)
 	for end := time.Now().Add(r.Length); time.Now().Before(end) && ctx.Err() == nil; {
-		one := faults[rnd.IntN(len(faults))]
+		inject := faults[rnd.IntN(len(faults))]
 		n := rnd.IntN(r.Hosts)
 		lasts := time.Duration(500+rnd.IntN(3500)) * time.Millisecond
-		own := rand.New(rand.NewPCG(r.Seed, rnd.Uint64()))
-		wg.Go(func() { one(r, own, n, lasts) })
-		time.Sleep(time.Duration(200+rnd.IntN(rest)) * time.Millisecond)
+		faultRand := rand.New(rand.NewPCG(r.Seed, rnd.Uint64()))
+		wg.Go(func() { inject(r, faultRand, n, lasts) })
+		time.Sleep(time.Duration(200+rnd.IntN(maxGapMs)) * time.Millisecond)
 	}
 }
 
-// during notes a fault that lasts.
-func (r *Run) during(what string, host int, lasts time.Duration, planned bool) {
+// recordFault logs a fault that starts now and adds it to the history. host is -1 for a fault that
+// may affect all hosts.
+func (r *Run) recordFault(fault string, host int, lasts time.Duration, planned bool) {
 	now := time.Now()
-	r.Log.Info().Str("fault", what).Int("on", host).Dur("lasts", lasts).Msg("soaker: fault")
-	r.l.note(incident{from: now, to: now.Add(lasts), what: what, host: host, planned: planned})
+	r.Log.Info().Str("fault", fault).Int("on", host).Dur("lasts", lasts).Msg("soaker: fault injected")
+	r.history.addIncident(incident{from: now, to: now.Add(lasts), fault: fault, host: host, planned: planned})
 }
 
-// claim takes a host for a fault of its process; one at a time.
-func (h *host) claim() bool {
+// claimProcess reserves the host's process for one fault, and reports whether it was free.
+func (h *host) claimProcess() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.stopped {
+	if h.claimed {
 		return false
 	}
-	h.stopped = true
+	h.claimed = true
 	return true
 }
 
-func kill(r *Run, _ *rand.Rand, n int, lasts time.Duration) {
-	h := r.w.hosts[n]
-	if !h.claim() {
+// killHost ends the host's process with SIGKILL and starts it again after the fault.
+func killHost(r *Run, _ *rand.Rand, n int, lasts time.Duration) {
+	h := r.cluster.hosts[n]
+	if !h.claimProcess() {
 		return
 	}
-	r.during("kill", n, lasts+warmUp, false)
+	r.recordFault("kill", n, lasts+warmUp, false)
 	h.signal(syscall.SIGKILL)
-	h.end()
+	h.wait()
 	time.Sleep(lasts)
 	r.restart(h)
 }
 
+// restart starts the host's process again and logs a failure.
 func (r *Run) restart(h *host) {
-	if err := r.w.start(h); err != nil {
-		r.Log.Error().Err(err).Str("host", h.name).Msg("soaker: host not started")
+	if err := r.cluster.start(h); err != nil {
+		r.Log.Error().Err(err).Str("host", h.name).Msg("soaker: cannot start host")
 	}
 }
 
-func pause(r *Run, _ *rand.Rand, n int, lasts time.Duration) {
-	h := r.w.hosts[n]
-	if !h.claim() {
+// pauseHost stops the host's process with SIGSTOP for a while.
+func pauseHost(r *Run, _ *rand.Rand, n int, lasts time.Duration) {
+	h := r.cluster.hosts[n]
+	if !h.claimProcess() {
 		return
 	}
-	// Some last longer than leases, and than a key may be known.
+	// Some pauses outlast the leases, and the time for which keys may be used without being
+	// read again.
 	lasts *= 2
-	r.during("pause", n, lasts, false)
+	r.recordFault("pause", n, lasts, false)
 	h.signal(syscall.SIGSTOP)
 	time.Sleep(lasts)
 	h.signal(syscall.SIGCONT)
 	h.mu.Lock()
-	h.stopped = false
+	h.claimed = false
 	h.mu.Unlock()
 }
 
-// stop is a planned one. The balancer turns away, and what is open has to end.
-func stop(r *Run, _ *rand.Rand, n int, _ time.Duration) {
-	h := r.w.hosts[n]
-	if !h.claim() {
+// stopHost stops the host gracefully and starts it again. The load balancer takes the host out of
+// rotation, and the requests that it has must end within the grace period.
+func stopHost(r *Run, _ *rand.Rand, n int, _ time.Duration) {
+	h := r.cluster.hosts[n]
+	if !h.claimProcess() {
 		return
 	}
 	const grace = 8 * time.Second
-	r.during("stop", n, grace, true)
+	r.recordFault("stop", n, grace, true)
 	began := time.Now()
 	h.signal(syscall.SIGTERM)
-	code := h.end()
-	if took := time.Since(began); took > grace || (code != 0 && r.l.calmNow(n, began)) {
-		r.l.mu.Lock()
-		r.l.exits = append(r.l.exits, fmt.Sprintf("host %d ended %v after SIGTERM with code %d", n, took, code))
-		r.l.mu.Unlock()
+	code := h.wait()
+	if took := time.Since(began); took > grace || (code != 0 && r.history.undisturbedSince(n, began)) {
+		r.history.mu.Lock()
+		r.history.badExits = append(r.history.badExits, fmt.Sprintf("host %d exited %v after SIGTERM with code %d", n, took, code))
+		r.history.mu.Unlock()
 	}
 	r.restart(h)
 }
 
-func (l *ledger) calmNow(host int, from time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.calm(host, from, time.Now())
+// undisturbedSince reports whether no unplanned fault could affect a host since a time.
+func (h *history) undisturbedSince(host int, from time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.undisturbed(host, from, time.Now())
 }
 
-func cutStore(r *Run, rnd *rand.Rand, n int, lasts time.Duration) {
+// disruptStoreLink disrupts the host's link to the store in a random mode.
+func disruptStoreLink(r *Run, rnd *rand.Rand, n int, lasts time.Duration) {
 	mode := Mode(1 + rnd.IntN(len(ModeValues())-1))
-	// Long enough for keys to grow too old.
+	// Long enough for the host's keys to become too old to be used.
 	lasts *= 3
-	r.during("store "+mode.String(), n, lasts, false)
-	r.w.hosts[n].store.Set(mode)
+	r.recordFault("store "+mode.String(), n, lasts, false)
+	r.cluster.hosts[n].storeLink.Set(mode)
 	time.Sleep(lasts)
-	r.w.hosts[n].store.Set(ModePass)
+	r.cluster.hosts[n].storeLink.Set(ModePass)
 }
 
-func crash(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
-	u := r.w.ups[rnd.IntN(len(r.w.ups))]
-	r.during("crash "+u.ID, -1, lasts, false)
+// crashUpstream stops a random upstream's server and starts it again after the fault.
+func crashUpstream(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
+	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
+	r.recordFault("crash "+u.ID, -1, lasts, false)
 	u.crash()
 	time.Sleep(lasts)
 	if err := u.serve(); err != nil {
-		r.Log.Error().Err(err).Str("upstream", u.ID).Msg("soaker: upstream not started")
+		r.Log.Error().Err(err).Str("upstream", u.ID).Msg("soaker: cannot start upstream")
 	}
 }
 
-func harmLink(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
-	u := r.w.ups[rnd.IntN(len(r.w.ups))]
+// disruptUpstreamLink disrupts the link to a random upstream in a random mode.
+func disruptUpstreamLink(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
+	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
 	mode := Mode(1 + rnd.IntN(len(ModeValues())-1))
-	r.during("link "+mode.String()+" "+u.ID, -1, lasts, false)
+	r.recordFault("link "+mode.String()+" "+u.ID, -1, lasts, false)
 	u.link.Set(mode)
 	time.Sleep(lasts)
 	u.link.Set(ModePass)
 }
 
-// leave has an upstream leave for good; one of each service stays.
-func leave(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
-	u := r.w.ups[rnd.IntN(len(r.w.ups))]
+// leaveUpstream marks a random upstream as leaving, for good. The upstream of each service whose
+// id ends in "-a" stays.
+func leaveUpstream(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
+	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
 	if strings.HasSuffix(u.ID, "-a") {
 		return
 	}
-	r.l.mu.Lock()
-	_, left := r.l.left[u.ID]
-	r.l.mu.Unlock()
+	r.history.mu.Lock()
+	_, left := r.history.leftAt[u.ID]
+	r.history.mu.Unlock()
 	if left {
 		return
 	}
 	entry := u.Upstream
 	entry.Leaving = true
-	r.l.mu.Lock()
-	r.w.store.List(entry)
-	r.l.left[u.ID] = time.Now()
-	r.l.mu.Unlock()
-	r.during("leave "+u.ID, -1, 0, true)
+	r.history.mu.Lock()
+	r.cluster.store.List(entry)
+	r.history.leftAt[u.ID] = time.Now()
+	r.history.mu.Unlock()
+	r.recordFault("leave "+u.ID, -1, 0, true)
 }
 
-// revoked is how many keys go at a time: enough that requests under them wait
-// at a paused host.
-const revoked = 8
+// keysPerRevoke is the number of keys revoked at a time: enough that requests with them are
+// waiting at a paused host.
+const keysPerRevoke = 8
 
-func revoke(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
+// revokeKeys revokes random keys of the first half, for good.
+func revokeKeys(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
 	gone := make(map[string]bool)
-	for range revoked {
-		gone[keyName(rnd.IntN(keys/2))] = true
+	for range keysPerRevoke {
+		gone[keyName(rnd.IntN(keyCount/2))] = true
 	}
-	at := r.w.configure(func(c *matcher.Configuration) {
+	at := r.cluster.updateConfiguration(func(c *matcher.Configuration) {
 		var left []string
 		for _, k := range c.Workspaces[0].Keys {
 			if !gone[k] {
@@ -383,19 +403,19 @@
 		}
 		c.Workspaces = []matcher.Workspace{{Name: "mill", Keys: left}}
 	})
-	r.l.mu.Lock()
+	r.history.mu.Lock()
 	for key := range gone {
-		if _, ok := r.l.revoked[key]; !ok {
-			r.l.revoked[key] = at
+		if _, ok := r.history.revokedAt[key]; !ok {
+			r.history.revokedAt[key] = at
 		}
 	}
-	r.l.mu.Unlock()
-	r.during("revoke", -1, 0, true)
+	r.history.mu.Unlock()
+	r.recordFault("revoke", -1, 0, true)
 }
 
-// move sends a route to another service, for good.
-func move(r *Run, _ *rand.Rand, _ int, _ time.Duration) {
-	r.w.configure(func(c *matcher.Configuration) {
+// moveRoute moves the route of /moving/ from service desk to service other, for good.
+func moveRoute(r *Run, _ *rand.Rand, _ int, _ time.Duration) {
+	r.cluster.updateConfiguration(func(c *matcher.Configuration) {
 		routes := append([]matcher.Route(nil), c.Routes...)
 		for i := range routes {
 			if routes[i].Prefix == "/moving/" {
@@ -404,79 +424,83 @@
 		}
 		c.Routes = routes
 	})
-	r.during("move", -1, 0, true)
+	r.recordFault("move", -1, 0, true)
 }
 
-// troubles is how many requests in a row an upstream spoils.
-const troubles = 12
+// troublesInRow is the number of requests in a row that an upstream fails.
+const troublesInRow = 12
 
-func trouble(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
-	u := r.w.ups[rnd.IntN(len(r.w.ups))]
+// troubleUpstream makes a random upstream fail its next requests in random ways.
+func troubleUpstream(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
+	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
 	list := []faker.Trouble{faker.TroubleFull, faker.TroubleReset, faker.TroubleFailed, faker.TroubleForeign, faker.TroubleUnsigned, faker.TroubleCut}
-	r.during("trouble "+u.ID, -1, 0, false)
-	next := make([]faker.Trouble, troubles)
+	r.recordFault("trouble "+u.ID, -1, 0, false)
+	next := make([]faker.Trouble, troublesInRow)
 	for n := range next {
 		next[n] = list[rnd.IntN(len(list))]
 	}
 	u.stage.Trouble(next...)
 }
 
-// limit has an upstream take few requests from all hosts together for a while.
-func limit(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
-	u := r.w.ups[rnd.IntN(len(r.w.ups))]
-	// Longer than the time from which a limit has to be kept.
+// limitUpstream makes a random upstream name a low limit on the rate of requests from all hosts
+// together, for a while.
+func limitUpstream(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
+	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
+	// Longer than the time that hosts have to comply with a new limit.
 	lasts *= 4
-	r.during("limit "+u.ID, -1, lasts, false)
+	r.recordFault("limit "+u.ID, -1, lasts, false)
 	u.stage.SetLimit(strconv.FormatFloat(0.5+3*rnd.Float64(), 'f', 1, 64))
 	time.Sleep(lasts)
 	u.stage.SetLimit("")
 }
 
-// restore has the store come back from a copy that is some time old; what operators and
-// upstreams wrote is written again.
-func restore(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
+// restoreStore takes the store down and restores it from a snapshot from before the outage. Operators
+// and upstreams then write the configuration and their entries again, and soon after an upstream
+// may be marked as leaving. One restore runs at a time.
+func restoreStore(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
 	if !r.restoring.TryLock() {
 		return
 	}
 	defer r.restoring.Unlock()
-	c := r.w.store.Copy()
+	snapshot := r.cluster.store.Copy()
 	time.Sleep(lasts)
-	away := time.Duration(200+rnd.IntN(1300)) * time.Millisecond
-	r.during(restoreFault, -1, away, false)
-	r.w.store.SetAway(true)
-	time.Sleep(away)
-	r.w.store.Restore(c)
-	r.w.store.SetAway(false)
-	r.w.configure(func(*matcher.Configuration) {})
-	r.list()
+	outage := time.Duration(200+rnd.IntN(1300)) * time.Millisecond
+	r.recordFault(restoreFault, -1, outage, false)
+	r.cluster.store.SetAway(true)
+	time.Sleep(outage)
+	r.cluster.store.Restore(snapshot)
+	r.cluster.store.SetAway(false)
+	r.cluster.updateConfiguration(func(*matcher.Configuration) {})
+	r.writeEntries()
 	time.Sleep(time.Duration(rnd.IntN(500)) * time.Millisecond)
-	leave(r, rnd, 0, 0)
+	leaveUpstream(r, rnd, 0, 0)
 }
 
-// heartbeat is the time between two entries of an upstream.
-const heartbeat = 1200 * time.Millisecond
+// heartbeatInterval is the time between two writes of an upstream's entry.
+const heartbeatInterval = 1200 * time.Millisecond
 
-// beat writes the entries of upstreams all the time, as these do.
-func (r *Run) beat(ctx context.Context) {
-	tick := time.NewTicker(heartbeat)
+// writeHeartbeats writes the entries of all upstreams in every heartbeatInterval until ctx ends, as
+// real upstreams do.
+func (r *Run) writeHeartbeats(ctx context.Context) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			r.list()
+			r.writeEntries()
 		}
 	}
 }
 
-// list writes the entries of all upstreams as they are.
-func (r *Run) list() {
-	r.l.mu.Lock()
-	defer r.l.mu.Unlock()
-	for _, u := range r.w.ups {
+// writeEntries writes the current entry of each upstream to the store.
+func (r *Run) writeEntries() {
+	r.history.mu.Lock()
+	defer r.history.mu.Unlock()
+	for _, u := range r.cluster.upstreams {
 		entry := u.Upstream
-		_, entry.Leaving = r.l.left[u.ID]
-		r.w.store.List(entry)
+		_, entry.Leaving = r.history.leftAt[u.ID]
+		r.cluster.store.List(entry)
 	}
 }
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -21,107 +21,119 @@
 
 // host is one process of the real program.
 type host struct {
-	name           string
-	callers, ready string
-	settings       string
-	// store is the host's own link to the store.
-	store *Proxy
+	name                         string
+	callersAddress, readyAddress string
+	// settings is the path of the settings file.
+	settings string
+	// storeLink is the host's own link to the store.
+	storeLink *Proxy
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	done    chan struct{}
-	stopped bool
+	mu  sync.Mutex
+	cmd *exec.Cmd
+	// done is closed when the current process has ended.
+	done chan struct{}
+	// claimed is set while a fault of the process is under way.
+	claimed bool
 }
 
-// upstream is a stand-in behind a link that all hosts share.
+// upstream is a fake upstream behind a link that all hosts share; the hosts know the link's
+// address.
 type upstream struct {
 	balancer.Upstream
 	stage *faker.Stage
 	link  *Proxy
-	real  string
+	// listenAddress is the address of the fake's server, behind the link.
+	listenAddress string
 
-	mu   sync.Mutex
-	kill func()
+	mu sync.Mutex
+	// stopServer ends the server; nil while it is down.
+	stopServer func()
 }
 
-// world is everything that a run starts.
-type world struct {
-	dir    string
-	binary string
-	hosts  []*host
-	ups    []*upstream
-	store  *platform.StandIn
-	server *http.Server
+// cluster is everything that a run starts: the hosts, the upstreams and the store.
+type cluster struct {
+	dir       string
+	binary    string
+	hosts     []*host
+	upstreams []*upstream
+	store     *platform.StandIn
+	server    *http.Server
 
-	// port is the next one to be tried.
-	port int
+	// nextPort is the next port to try to listen on.
+	nextPort int
 
-	mu  sync.Mutex
+	mu sync.Mutex
+	// cfg is the configuration that was last written to the store.
 	cfg matcher.Configuration
 }
 
 const (
 	dataCentre = "here"
-	hostName   = "desk.example"
-	// revokeAfter is the time after which a key that was taken away runs nothing.
-	revokeAfter = 5 * time.Second
-	// leaveAfter is the time after which an upstream that leaves gets nothing.
-	leaveAfter = 2 * time.Second
-	// keys is how many keys there are at first.
-	keys = 40
+	// serviceHost is the Host header of all requests.
+	serviceHost = "desk.example"
+	// revokeTimeout is the time after its revocation within which a key may still be accepted.
+	revokeTimeout = 5 * time.Second
+	// leaveTimeout is the time after it begins to leave within which an upstream may still get
+	// new requests.
+	leaveTimeout = 2 * time.Second
+	// keyCount is the number of keys at the start.
+	keyCount = 40
 )
 
-// listen opens an address. One that was closed a moment ago may still be in use:
-// a process that is just being started has it open until it runs its program.
+// listen listens on a TCP address, and retries for a second while it is in use: a process that
+// is just being forked inherits a listener that was closed here, and holds it until its exec.
 func listen(address string) (net.Listener, error) {
-	const tries, pause = 50, 20 * time.Millisecond
+	const maxTries, pause = 50, 20 * time.Millisecond
 	for n := 0; ; n++ {
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
-		if err == nil || n == tries || !errors.Is(err, syscall.EADDRINUSE) {
+		if err == nil || n == maxTries || !errors.Is(err, syscall.EADDRINUSE) {
 			return l, err
 		}
 		time.Sleep(pause)
 	}
 }
 
-// portRange is how many ports a run takes at most; runs that are played side by
-// side take blocks of their own, below the ports that outgoing connections get.
+// A run takes at most portsPerRun ports. Runs of different seeds may run in parallel, so each takes
+// one of portBlocks blocks; all lie below the ephemeral ports of outgoing connections.
 const (
-	portRange = 60
-	firstPort = 10000
-	blocks    = 300
+	portsPerRun = 60
+	firstPort   = 10000
+	portBlocks  = 300
 )
 
-// free is the next address of the run's block that nothing listens at.
-func (w *world) free() string {
-	for range portRange {
-		address := fmt.Sprintf("127.0.0.1:%d", w.port)
-		w.port++
+// freeAddress returns the next address of the run's block on which nothing listens. It panics when
+// the block is used up.
+func (c *cluster) freeAddress() string {
+	for range portsPerRun {
+		address := fmt.Sprintf("127.0.0.1:%d", c.nextPort)
+		c.nextPort++
 		if l, err := listen(address); err == nil {
 			_ = l.Close()
 			return address
 		}
 	}
-	panic("soaker: no free port on loopback")
+	panic("soaker: no free port left on loopback in the block of this run")
 }
 
+// keyName returns the nth API key.
 func keyName(n int) string { return fmt.Sprintf("key-%d", n) }
 
+// route returns a route for the requests whose path starts with prefix.
 func route(prefix, service string, kind matcher.Kind) matcher.Route {
 	return matcher.Route{
-		Name: prefix, Host: hostName, Prefix: prefix, Kind: kind, Timeout: 10 * time.Second, Target: 500 * time.Millisecond,
+		Name: prefix, Host: serviceHost, Prefix: prefix, Kind: kind, Timeout: 10 * time.Second, Target: 500 * time.Millisecond,
 		MaxAttempts: 2, Resumable: kind == matcher.KindStreaming, Splits: []matcher.Split{{Service: service, Weight: 1}},
 	}
 }
 
-// newWorld starts the stand-ins; hosts are started by start.
-func newWorld(dir, binary string, hosts int, seed uint64) (*world, error) {
-	w := &world{dir: dir, binary: binary, store: new(platform.StandIn), port: firstPort + int(seed%blocks)*portRange}
-	all := make([]string, keys)
+// newCluster starts the store and the upstreams, and prepares the hosts, which start starts.
+func newCluster(dir, binary string, hosts int, seed uint64) (*cluster, error) {
+	c := &cluster{dir: dir, binary: binary, store: new(platform.StandIn), nextPort: firstPort + int(seed%portBlocks)*portsPerRun}
+	all := make([]string, keyCount)
 	for n := range all {
 		all[n] = keyName(n)
 	}
-	w.cfg = matcher.Configuration{
+	c.cfg = matcher.Configuration{
 		Version: 1,
 		Routes: []matcher.Route{
 			route("/look/", "desk", matcher.KindIdempotent), route("/book/", "desk", matcher.KindNonIdempotent),
@@ -130,46 +142,49 @@
 		Services:   []matcher.Service{{Name: "desk"}, {Name: "model"}, {Name: "other"}},
 		Workspaces: []matcher.Workspace{{Name: "mill", Keys: all}},
 	}
-	w.configure(func(*matcher.Configuration) {})
-	storeAddress := w.free()
+	c.updateConfiguration(func(*matcher.Configuration) {})
+	storeAddress := c.freeAddress()
 	l, err := listen(storeAddress)
 	if err != nil {
 		return nil, err
 	}
-	w.server = &http.Server{Handler: w.store, ReadHeaderTimeout: time.Minute}
-	go func() { _ = w.server.Serve(l) }()
+	c.server = &http.Server{Handler: c.store, ReadHeaderTimeout: time.Minute}
+	go func() { _ = c.server.Serve(l) }()
 	for _, id := range []string{"desk-a", "desk-b", "desk-c", "other-a", "other-b", "model-a", "model-b", "model-c"} {
-		if err := w.addUpstream(id); err != nil {
+		if err := c.addUpstream(id); err != nil {
 			return nil, err
 		}
 	}
 	for n := range hosts {
-		if err := w.addHost(n, storeAddress); err != nil {
+		if err := c.addHost(n, storeAddress); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return c, nil
 }
 
-// configure changes the configuration and returns when it was acknowledged.
-func (w *world) configure(change func(*matcher.Configuration)) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	change(&w.cfg)
-	w.cfg.Version += 3
-	cfg := w.cfg
-	w.store.Configure(&cfg)
+// updateConfiguration writes a changed configuration to the store, and returns the time at which
+// the store had accepted it.
+func (c *cluster) updateConfiguration(change func(*matcher.Configuration)) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	change(&c.cfg)
+	c.cfg.Version += 3
+	cfg := c.cfg
+	c.store.Configure(&cfg)
 	return time.Now()
 }
 
-func (w *world) addUpstream(id string) error {
+// addUpstream starts an upstream and lists it in the store. Its id is the name of its service, a
+// hyphen and a letter.
+func (c *cluster) addUpstream(id string) error {
 	service := id[:len(id)-2]
 	u := &upstream{
-		stage: &faker.Stage{ID: id, Headers: &platform.Headers, Events: 20, Gap: 50 * time.Millisecond, Answer: 100 * time.Millisecond},
-		real:  w.free(),
+		stage:         &faker.Stage{ID: id, Headers: &platform.Headers, Events: 20, Gap: 50 * time.Millisecond, Answer: 100 * time.Millisecond},
+		listenAddress: c.freeAddress(),
 	}
-	u.link = &Proxy{Target: u.real}
-	address, err := u.link.Start(w.free())
+	u.link = &Proxy{Target: u.listenAddress}
+	address, err := u.link.Start(c.freeAddress())
 	if err != nil {
 		return err
 	}
@@ -177,54 +192,56 @@
 	if err := u.serve(); err != nil {
 		return err
 	}
-	w.ups = append(w.ups, u)
-	w.store.List(u.Upstream)
+	c.upstreams = append(c.upstreams, u)
+	c.store.List(u.Upstream)
 	return nil
 }
 
+// serve starts the upstream's server.
 func (u *upstream) serve() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	kill, err := faker.Serve(listen, u.real, u.stage)
-	u.kill = kill
+	stop, err := faker.Serve(listen, u.listenAddress, u.stage)
+	u.stopServer = stop
 	return err
 }
 
-// crash ends the upstream's process, as callers see it.
+// crash stops the server at once, which looks to its clients like the end of its process.
 func (u *upstream) crash() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.kill != nil {
-		u.kill()
-		u.kill = nil
+	if u.stopServer != nil {
+		u.stopServer()
+		u.stopServer = nil
 	}
 }
 
-func (w *world) addHost(n int, store string) error {
-	h := &host{name: fmt.Sprintf("host-%d", n), callers: w.free(), ready: w.free(), store: &Proxy{Target: store}}
-	link, err := h.store.Start(w.free())
+// addHost writes the settings of the nth host and starts its link to the store.
+func (c *cluster) addHost(n int, store string) error {
+	h := &host{name: fmt.Sprintf("host-%d", n), callersAddress: c.freeAddress(), readyAddress: c.freeAddress(), storeLink: &Proxy{Target: store}}
+	link, err := h.storeLink.Start(c.freeAddress())
 	if err != nil {
 		return err
 	}
-	h.settings = filepath.Join(w.dir, h.name+".jsonc")
+	h.settings = filepath.Join(c.dir, h.name+".jsonc")
 	text := fmt.Sprintf(`{"host": %q, "dataCentre": %q, "callers": %q, "ready": %q, "peer": %q, "admin": %q, "platform": %q,
 		"retryRatio": 0.2, "retryFixed": 200, "retryWindowS": 10, "revokeMs": %d}`,
-		h.name, dataCentre, h.callers, h.ready, w.free(), w.free(), link, revokeAfter.Milliseconds())
-	w.hosts = append(w.hosts, h)
+		h.name, dataCentre, h.callersAddress, h.readyAddress, c.freeAddress(), c.freeAddress(), link, revokeTimeout.Milliseconds())
+	c.hosts = append(c.hosts, h)
 	return os.WriteFile(h.settings, []byte(text), 0o600)
 }
 
-// start runs the host's process; its log is appended to a file.
-func (w *world) start(h *host) error {
+// start starts the host's process, with its log appended to a file, and releases a claim on it.
+func (c *cluster) start(h *host) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	log, err := os.OpenFile(filepath.Join(w.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(c.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	h.cmd = exec.CommandContext(context.Background(), w.binary, "forward", "--settings", h.settings)
+	h.cmd = exec.CommandContext(context.Background(), c.binary, "forward", "--settings", h.settings)
 	h.cmd.Stdout, h.cmd.Stderr = log, log
-	h.stopped = false
+	h.claimed = false
 	if err := h.cmd.Start(); err != nil {
 		return err
 	}
@@ -238,7 +255,7 @@
 	return nil
 }
 
-// signal sends one to the host's process, which this run has started.
+// signal sends a signal to the host's process; it does nothing before the first start.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -247,8 +264,8 @@
 	}
 }
 
-// end waits for the process and returns its exit code; -1 after a signal.
-func (h *host) end() int {
+// wait waits for the process to end and returns its exit code, or -1 if a signal ended it.
+func (h *host) wait() int {
 	h.mu.Lock()
 	cmd, done := h.cmd, h.done
 	h.mu.Unlock()
@@ -256,16 +273,17 @@
 	return cmd.ProcessState.ExitCode()
 }
 
-func (w *world) close() {
-	for _, h := range w.hosts {
+// close ends all processes, links and servers. A paused process is continued first.
+func (c *cluster) close() {
+	for _, h := range c.hosts {
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
-		h.end()
-		h.store.Close()
+		h.wait()
+		h.storeLink.Close()
 	}
-	for _, u := range w.ups {
+	for _, u := range c.upstreams {
 		u.crash()
 		u.link.Close()
 	}
-	w.server.Close()
+	c.server.Close()
 }
