--- a/prober/prober.go
+++ b/prober/prober.go
@@ -1,6 +1,6 @@
-// Package prober asks upstreams how they are, and reads the platform's list of
-// hosts. Each upstream is probed by two entry hosts of its data centre, so the
-// number of probes doesn't grow with the number of entry hosts.
+// Package prober probes the health and load of upstreams, and reads the platform's list of hosts.
+// Each upstream is probed by two entry hosts of its data centre, so that the number of probes
+// doesn't grow with the number of entry hosts.
 package prober
 
 import (
@@ -20,71 +20,76 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// Probers is how many entry hosts probe one upstream.
+// Probers is the number of entry hosts that probe an upstream.
 const Probers = 2
 
-// ErrRefused means that nobody listens at an address.
+// ErrRefused means that a connection was refused: nothing listens at the address.
 var ErrRefused = errors.New("prober: connection refused")
 
-// Listed is one line of the platform's list of hosts.
+// Listed is an entry of the platform's list of hosts. Name is that of an upstream.
 type Listed struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"incarnation"`
 	Leaving     bool   `json:"leaving"`
 }
 
-// Upstreams is the seam to upstreams and to the list.
+// Upstreams is how a Prober reaches upstreams and the list of hosts; Client implements it over HTTP.
 type Upstreams interface {
-	// Probe returns an upstream's load. It wraps ErrRefused when the
+	// Probe returns the load of the upstream at an address. The error wraps ErrRefused when the
 	// connection was refused.
 	Probe(ctx context.Context, address string) (tracker.Load, error)
 	// List returns the platform's list of hosts.
 	List(ctx context.Context) ([]Listed, error)
 }
 
-// Prober is one host's part. The fields are set before Run.
+// Prober probes the upstreams that this host owns and reports what it finds to the tracker. The
+// exported fields are set before Run.
 type Prober struct {
 	Upstreams Upstreams
 	Tracker   *tracker.Tracker
-	// Owns reports whether a key falls to this host among n of its data centre.
+	// Owns reports whether this host is one of the n hosts of its data centre that own a key.
 	Owns       func(key string, n int) bool
 	DataCentre string
-	// OnLeaving and OnDown tell what other hosts must hear.
+	// OnLeaving and OnDown are called with changes that other hosts need to know: an upstream
+	// began to leave, refuses connections (down) or answers again (not down).
 	OnLeaving func(upstream string, incarnation int64)
 	OnDown    func(upstream string, incarnation int64, down bool)
-	// Wake is called when an upstream may have room again.
+	// Wake is called every Period, as upstreams may have free capacity by then.
 	Wake func()
-	// Period is the time between probes, and ListPeriod between looks at the
-	// list; 0 reads no list.
+	// Period is the time between probes and the timeout of each. ListPeriod is the time between
+	// reads of the list and the timeout of each; 0 means that the list is not read.
 	Period, ListPeriod time.Duration
 	Log                zerolog.Logger
 
-	once  sync.Once
-	doubt chan string
+	once sync.Once
+	// requested holds the names of upstreams to probe at once.
+	requested chan string
 }
 
-// Doubt asks for upstreams to be probed at once.
+// Doubt requests probes of upstreams at once, without waiting for them. Requests beyond the
+// capacity of the queue are dropped.
 func (p *Prober) Doubt(names []string) {
 	p.init()
 	for _, n := range names {
 		select {
-		case p.doubt <- n:
+		case p.requested <- n:
 		default:
 		}
 	}
 }
 
+// init makes the channel of requests, which Doubt may need before Run.
 func (p *Prober) init() {
-	p.once.Do(func() { p.doubt = make(chan string, 256) })
+	p.once.Do(func() { p.requested = make(chan string, 256) })
 }
 
-// Run probes until ctx ends.
+// Run probes upstreams and reads the list of hosts until ctx ends, and waits for probes under way.
 func (p *Prober) Run(ctx context.Context) {
 	p.init()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	if p.ListPeriod > 0 {
-		wg.Go(func() { p.runList(ctx) })
+		wg.Go(func() { p.pollHostList(ctx) })
 	}
 	tick := time.NewTicker(p.Period)
 	defer tick.Stop()
@@ -92,12 +97,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case name := <-p.doubt:
+		case name := <-p.requested:
 			if u, ok := p.Tracker.Upstream(name); ok {
 				wg.Go(func() { p.probe(ctx, u) })
 			}
 		case <-tick.C:
-			for _, u := range p.mine() {
+			for _, u := range p.targets() {
 				wg.Go(func() { p.probe(ctx, u) })
 			}
 			p.Wake()
@@ -105,37 +110,38 @@
 	}
 }
 
-// Ask probes upstreams at once and returns one that did not answer before ctx
-// ended; empty means that all did.
+// Ask probes upstreams concurrently, reports their loads to the tracker, and returns the name of one
+// that did not answer before ctx ended. It returns an empty name when all did; upstreams that the
+// tracker does not know count as answered.
 func (p *Prober) Ask(ctx context.Context, names []string) string {
-	silent := make(chan string, len(names))
+	results := make(chan string, len(names))
 	for _, name := range names {
 		go func() {
 			u, ok := p.Tracker.Upstream(name)
 			if !ok {
-				silent <- ""
+				results <- ""
 				return
 			}
 			load, err := p.Upstreams.Probe(ctx, u.Address)
 			if err != nil {
-				silent <- name
+				results <- name
 				return
 			}
 			p.Tracker.RecordLoad(time.Now(), name, load)
-			silent <- ""
+			results <- ""
 		}()
 	}
 	for range names {
-		if name := <-silent; name != "" {
+		if name := <-results; name != "" {
 			return name
 		}
 	}
 	return ""
 }
 
-// mine is the upstreams that fall to this host, and those that it alone holds
-// for down: their probers reach them, so would never tell it otherwise.
-func (p *Prober) mine() []builder.Upstream {
+// targets returns the upstreams that this host owns, and those that it alone considers down or
+// suspect: the owners of those reach them, so they never announce that they answer again.
+func (p *Prober) targets() []builder.Upstream {
 	out := p.owned()
 	for _, name := range p.Tracker.SuspectedLocally() {
 		u, ok := p.Tracker.Upstream(name)
@@ -146,6 +152,7 @@
 	return out
 }
 
+// owned returns the upstreams of the data centre that this host owns as one of their probers.
 func (p *Prober) owned() []builder.Upstream {
 	var out []builder.Upstream
 	for _, u := range p.Tracker.Upstreams(p.DataCentre) {
@@ -156,13 +163,14 @@
 	return out
 }
 
+// probe probes an upstream, reports the result to the tracker, and announces changes.
 func (p *Prober) probe(ctx context.Context, u builder.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, p.Period)
 	defer cancel()
 	load, err := p.Upstreams.Probe(ctx, u.Address)
 	now := time.Now()
 	if err != nil {
-		p.failed(ctx, now, u.Name, err)
+		p.handleFailure(ctx, now, u.Name, err)
 		return
 	}
 	if p.Tracker.RecordLoad(now, u.Name, load) && load.Leaving {
@@ -174,9 +182,10 @@
 	}
 }
 
-// failed tells a refused connection, which is sure, from a silence, which may
-// be this host's own network.
-func (p *Prober) failed(ctx context.Context, now time.Time, name string, err error) {
+// handleFailure reports a failed probe. A refused connection proves that the upstream is down, and
+// is announced to the other hosts. Any other failure may be that of this host's own network. Probes
+// that the end of Run cancels are ignored.
+func (p *Prober) handleFailure(ctx context.Context, now time.Time, name string, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
@@ -184,15 +193,16 @@
 	if !p.Tracker.RecordFailure(now, name, down) {
 		return
 	}
-	p.Log.Info().Str("upstream", name).Bool("down", down).Err(err).Msg("prober: upstream does not answer")
+	p.Log.Info().Str("upstream", name).Bool("down", down).Err(err).Msg("prober: probe of upstream failed")
 	if down {
 		p.OnDown(name, p.Tracker.Incarnation(name), true)
 	}
 }
 
-func (p *Prober) runList(ctx context.Context) {
+// pollHostList reads the list of hosts every ListPeriod until ctx ends.
+func (p *Prober) pollHostList(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.readList(ctx)
+		p.readHostList(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(p.ListPeriod):
@@ -200,7 +210,9 @@
 	}
 }
 
-func (p *Prober) readList(ctx context.Context) {
+// readHostList reads the list of hosts and marks the upstreams that it lists as leaving. Only the
+// one host of the data centre that owns the list reads it.
+func (p *Prober) readHostList(ctx context.Context) {
 	const readers = 1
 	if !p.Owns("hostList", readers) {
 		return
@@ -209,7 +221,7 @@
 	defer cancel()
 	list, err := p.Upstreams.List(ctx)
 	if err != nil {
-		p.Log.Debug().Err(err).Msg("prober: list of hosts not read")
+		p.Log.Debug().Err(err).Msg("prober: cannot read list of hosts")
 		return
 	}
 	for _, l := range list {
@@ -219,12 +231,12 @@
 	}
 }
 
-// Client probes over HTTP.
+// Client implements Upstreams over HTTP.
 type Client struct {
 	HTTP *http.Client
-	// HostList is the address of the list; empty means none.
+	// HostList is the IP:port of the service that lists hosts; empty means that there is none.
 	HostList string
-	// Refused reports whether an error is a refused connection.
+	// Refused reports whether an error means that a connection was refused.
 	Refused func(error) bool
 }
 
@@ -245,11 +257,13 @@
 	return list, err
 }
 
-func (c *Client) get(ctx context.Context, url string, into any) error {
-	const most = 8 << 20
+// get decodes the JSON body of a GET request into out. It fails for a status other than 200, and
+// reads at most maxBodyBytes.
+func (c *Client) get(ctx context.Context, url string, out any) error {
+	const maxBodyBytes = 8 << 20
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return fmt.Errorf("making probe: %w", err)
+		return fmt.Errorf("creating request: %w", err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
@@ -257,7 +271,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("probe answered status %d", resp.StatusCode)
+		return fmt.Errorf("request answered with status %d, want 200", resp.StatusCode)
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, most)).Decode(into)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxBodyBytes)).Decode(out)
 }
