--- a/checker/checker.go
+++ b/checker/checker.go
@@ -1,6 +1,5 @@
-// Package checker holds the invariants that the program asserts about itself.
-// They are always compiled in: a violation is counted, logged with its request
-// id, and fails any test that set Fail.
+// Package checker asserts invariants of the program at run time. The assertions are always compiled
+// in: a violation is counted, logged with its request id, and passed to Fail, by which tests fail.
 package checker
 
 import (
@@ -13,55 +12,59 @@
 
 //go:generate enumer -type Invariant -trimprefix Invariant -transform title-lower -output invariant_gen.go
 
-// Invariant is something that must hold at all times.
+// Invariant identifies a property of the program that must hold at all times.
 type Invariant int
 
-// The invariants, in the order of the promises to users.
+// The invariants, in the order of the guarantees to users.
 const (
-	// InvariantLayers: every layer runs exactly once for each token, in order.
+	// InvariantLayers means that every layer runs exactly once for each token, in order.
 	InvariantLayers Invariant = iota
-	// InvariantAnswer: a caller gets the whole answer to its own request.
+	// InvariantAnswer means that a caller gets the complete answer to its own request.
 	InvariantAnswer
-	// InvariantNotRun: a request refused as not run reached no upstream.
+	// InvariantNotRun means that a request refused as not run was started by no upstream.
 	InvariantNotRun
-	// InvariantAtMostOnce: a call that is not idempotent is sent at most once.
+	// InvariantAtMostOnce means that a call that is not idempotent is sent at most once.
 	InvariantAtMostOnce
-	// InvariantLeaving: an upstream known to be leaving gets no new work.
+	// InvariantLeaving means that an upstream known to be leaving gets no new requests.
 	InvariantLeaving
-	// InvariantGraceful: a graceful stop cuts off no request.
+	// InvariantGraceful means that a graceful stop breaks off no request.
 	InvariantGraceful
-	// InvariantRevision: the revision in force never goes down.
+	// InvariantRevision means that the configuration revision in force never decreases.
 	InvariantRevision
-	// InvariantOrder: an order is given only while the lease is held.
+	// InvariantOrder means that a host gives orders only while it holds the lease.
 	InvariantOrder
 )
 
-// Violation is one breach of an invariant.
+// Violation is one violation of an invariant; it is an error.
 type Violation struct {
 	Invariant Invariant
-	// RequestID is empty when no request is concerned.
+	// RequestID is empty when the violation concerns no request.
 	RequestID string
-	Text      string
+	// Text says what was observed.
+	Text string
 }
 
-// Error gives the invariant and what was seen.
+// Error returns the invariant, what was observed, and the request id.
 func (v Violation) Error() string {
 	return fmt.Sprintf("%s: %s (request %q)", v.Invariant, v.Text, v.RequestID)
 }
 
-// Checker counts and reports violations. The zero value counts only.
+// Checker counts and reports violations. The zero value only counts them; a nil Checker may be
+// asserted on, and ignores them. It is safe for concurrent use.
 type Checker struct {
-	// Log gets one line a violation.
+	// Log gets one line for each violation.
 	Log zerolog.Logger
-	// Fail is called with each violation; nil in production, t.Errorf in tests.
+	// Fail, if set, is called with each violation. Production leaves it nil; tests report an error.
 	Fail func(Violation)
 
 	counts [InvariantOrder + 1]atomic.Int64
 	mu     sync.Mutex
-	last   Violation
+	// last is the latest violation.
+	last Violation
 }
 
-// Assert reports a violation unless ok.
+// Assert reports a violation of an invariant unless ok is true. The text of the violation is made
+// from format and args.
 func (c *Checker) Assert(ok bool, inv Invariant, requestID, format string, args ...any) {
 	if ok || c == nil {
 		return
@@ -77,12 +80,12 @@
 	}
 }
 
-// Count returns how often an invariant was violated since the start.
+// Count returns the number of violations of an invariant so far.
 func (c *Checker) Count(inv Invariant) int64 {
 	return c.counts[inv].Load()
 }
 
-// Total returns how often any invariant was violated since the start.
+// Total returns the number of violations of all invariants so far.
 func (c *Checker) Total() int64 {
 	var n int64
 	for i := range c.counts {
--- a/checker/witness.go
+++ b/checker/witness.go
@@ -5,31 +5,33 @@
 	"sync/atomic"
 )
 
-// Witness knows, apart from the decisions it is to check, whether any upstream
-// may have started a request: the clients of upstreams tell it directly.
+// Witness tracks whether an upstream may have started a request. The clients of upstreams report to
+// it directly, so that it is independent of the decisions that are checked against it.
 type Witness struct {
+	// started counts the attempts that were sent and not declined.
 	started atomic.Int64
 }
 
-type witnessKey struct{}
+// trackerKey is the context key of the request's Witness.
+type trackerKey struct{}
 
 // WithWitness returns a context that carries a new witness.
 func WithWitness(ctx context.Context) (context.Context, *Witness) {
 	w := new(Witness)
-	return context.WithValue(ctx, witnessKey{}, w), w
+	return context.WithValue(ctx, trackerKey{}, w), w
 }
 
-// Sent tells the context's witness that a connection to an upstream was taken
-// for the request.
+// Sent records that a connection to an upstream was obtained for the context's request, so that the
+// upstream may start it. It does nothing for a context without a Witness, as does Declined.
 func Sent(ctx context.Context) {
-	if w, ok := ctx.Value(witnessKey{}).(*Witness); ok {
+	if w, ok := ctx.Value(trackerKey{}).(*Witness); ok {
 		w.started.Add(1)
 	}
 }
 
-// Declined takes one Sent back: the upstream said that it did not start.
+// Declined undoes one call of Sent, after the upstream answered that it did not start the request.
 func Declined(ctx context.Context) {
-	if w, ok := ctx.Value(witnessKey{}).(*Witness); ok {
+	if w, ok := ctx.Value(trackerKey{}).(*Witness); ok {
 		w.started.Add(-1)
 	}
 }
