--- a/storer/client.go
+++ b/storer/client.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// Request is the body of every call to the service; see docs/INTERFACES.md.
+// Request is the body of every call to the service; see docs/INTERFACES.md. Each method uses a
+// part of the fields.
 type Request struct {
 	Key   string `json:"key,omitempty"`
 	Write *Write `json:"write,omitempty"`
@@ -21,35 +22,35 @@
 	TTLMs int64  `json:"ttlMs,omitempty"`
 }
 
-// Response is the body of every answer with status 200.
+// Response is the body of every response with status 200. Each method sets a part of the fields.
 type Response struct {
 	Entry    *Entry `json:"entry,omitempty"`
 	Revision int64  `json:"revision,omitempty"`
 	Lease    int64  `json:"lease,omitempty"`
 }
 
-// Status codes of the service.
+// Status codes of the service. With statusUnavailable the call was not executed.
 const (
-	statusNotFound = http.StatusNotFound
-	statusConflict = http.StatusConflict
-	statusLease    = http.StatusGone
-	statusTooLarge = http.StatusRequestEntityTooLarge
-	statusOutage   = http.StatusServiceUnavailable
+	statusNotFound    = http.StatusNotFound
+	statusConflict    = http.StatusConflict
+	statusLeaseGone   = http.StatusGone
+	statusTooLarge    = http.StatusRequestEntityTooLarge
+	statusUnavailable = http.StatusServiceUnavailable
 )
 
-// Client is a Store over HTTP.
+// Client implements Store over HTTP. It is safe for concurrent use.
 type Client struct {
-	// Address is IP:port of the service.
+	// Address is the IP:port of the service.
 	Address string
-	// HTTP carries the calls.
+	// HTTP is the client by which calls are made.
 	HTTP *http.Client
-	// Timeout bounds each call but Watch.
+	// Timeout is the timeout of each call except Watch, which only ctx bounds.
 	Timeout time.Duration
 
 	calls atomic.Int64
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made so far, failed ones included.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
 // Get implements Store.
@@ -58,7 +59,7 @@
 	defer cancel()
 	resp, err := c.call(ctx, "get", Request{Key: key})
 	if err != nil {
-		return Entry{}, asRead(err)
+		return Entry{}, readError(err)
 	}
 	return *resp.Entry, nil
 }
@@ -67,7 +68,7 @@
 func (c *Client) Watch(ctx context.Context, key string, after int64) (Entry, error) {
 	resp, err := c.call(ctx, "watch", Request{Key: key, After: after})
 	if err != nil {
-		return Entry{}, asRead(err)
+		return Entry{}, readError(err)
 	}
 	return *resp.Entry, nil
 }
@@ -113,14 +114,13 @@
 	return err
 }
 
-// call makes one call. A connection that never carried the request means
-// nothing was written (ErrUnavailable); any later failure leaves it open
-// (ErrUncertain).
+// call makes one call. A failure before a connection was obtained means that nothing was written
+// (ErrUnavailable); after that, the call may have taken effect (ErrUncertain).
 func (c *Client) call(ctx context.Context, method string, in Request) (*Response, error) {
 	c.calls.Add(1)
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, fmt.Errorf("encoding %s: %w", method, err)
+		return nil, fmt.Errorf("encoding request for %q: %w", method, err)
 	}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -128,11 +128,11 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Address+"/v1/kv/"+method, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("making %s: %w", method, err)
+		return nil, fmt.Errorf("creating request for %q: %w", method, err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return nil, lost(connected.Load(), err)
+		return nil, transportError(connected.Load(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -140,7 +140,7 @@
 	}
 	out := new(Response)
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return nil, lost(true, err)
+		return nil, transportError(true, err)
 	}
 	if out.Entry == nil {
 		out.Entry = new(Entry)
@@ -148,31 +148,36 @@
 	return out, nil
 }
 
-func lost(sent bool, err error) error {
+// transportError wraps a failure of the transport in ErrUncertain if the request may have been sent,
+// and in ErrUnavailable if not.
+func transportError(sent bool, err error) error {
 	if sent {
 		return fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
+// statusError returns the error for a status other than 200. Statuses that the service does not
+// define are ErrUncertain.
 func statusError(status int) error {
 	switch status {
 	case statusNotFound:
 		return ErrNotFound
 	case statusConflict:
 		return ErrConflict
-	case statusLease:
+	case statusLeaseGone:
 		return ErrLease
 	case statusTooLarge:
 		return ErrTooLarge
-	case statusOutage:
+	case statusUnavailable:
 		return ErrUnavailable
 	default:
-		return fmt.Errorf("%w: status %d", ErrUncertain, status)
+		return fmt.Errorf("%w: unexpected status %d", ErrUncertain, status)
 	}
 }
 
-func asRead(err error) error {
+// readError turns ErrUncertain into ErrUnavailable, as a read has no effect that could be uncertain.
+func readError(err error) error {
 	if errors.Is(err, ErrUncertain) {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -1,9 +1,8 @@
 // Package storer is the client of the platform's key-value service:
 // compare-and-swap, leases and watches.
 //
-// It tells apart a write that did not happen (ErrConflict, ErrUnavailable)
-// from one whose answer was lost (ErrUncertain). Callers settle the latter by
-// reading back.
+// Its errors tell a write that did not happen (ErrConflict, ErrUnavailable) from one whose response
+// was lost (ErrUncertain). Callers resolve the latter by reading the key.
 package storer
 
 import (
@@ -13,22 +12,22 @@
 )
 
 var (
-	// ErrNotFound means the key has no value.
+	// ErrNotFound means that the key has no value.
 	ErrNotFound = errors.New("storer: key not found")
-	// ErrConflict means the key had another revision; nothing was written.
+	// ErrConflict means that the key has another revision than expected; nothing was written.
 	ErrConflict = errors.New("storer: revision conflict")
-	// ErrUnavailable means the service did not take the call; nothing was written.
+	// ErrUnavailable means that the service did not accept the call; nothing was written.
 	ErrUnavailable = errors.New("storer: service unavailable")
-	// ErrUncertain means the call was sent and its answer lost: it may have
-	// taken effect, now or later.
-	ErrUncertain = errors.New("storer: answer lost")
-	// ErrLease means the lease does not exist any more.
-	ErrLease = errors.New("storer: lease lapsed")
-	// ErrTooLarge means the value is over MaxValue.
+	// ErrUncertain means that the call was sent and its response lost: it may have taken effect,
+	// or may still do so.
+	ErrUncertain = errors.New("storer: response lost, outcome unknown")
+	// ErrLease means that the lease does not exist any more.
+	ErrLease = errors.New("storer: lease expired")
+	// ErrTooLarge means that the value has more than MaxValue bytes.
 	ErrTooLarge = errors.New("storer: value too large")
 )
 
-// MaxValue is the largest value the service holds, in bytes.
+// MaxValue is the largest size of a value that the service stores, in bytes.
 const MaxValue = 1 << 20
 
 // Entry is a key's value at a revision.
@@ -36,10 +35,10 @@
 	Key string `json:"key"`
 	// Value is at most MaxValue bytes.
 	Value []byte `json:"value"`
-	// Revision rises with every write to the key; 0 means absent.
+	// Revision rises with every write to the key; 0 means that the key is absent.
 	Revision int64 `json:"revision"`
-	// Era counts how often the service came back from a copy and gave its revisions out
-	// again; 0 where it does not say.
+	// Era counts how often the service was restored from a backup, after which it assigns
+	// revisions again that it assigned before; 0 if the service does not report it.
 	Era int64 `json:"-"`
 }
 
@@ -47,36 +46,37 @@
 type Write struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Expect is the revision the key must have; 0 means it must be absent.
+	// Expect is the revision that the key must have; 0 means that it must be absent.
 	Expect int64 `json:"expect"`
-	// Era is the one of Expect.
+	// Era is the era of the revision in Expect.
 	Era int64 `json:"-"`
-	// Lease deletes the key when it lapses; 0 means none.
+	// Lease is the lease that deletes the key when it expires; 0 means none.
 	Lease int64 `json:"lease,omitempty"`
 	// Delete removes the key instead of writing Value.
 	Delete bool `json:"delete,omitempty"`
 }
 
-// Restorable is a Store that may come back from a copy.
+// Restorable is a Store that may be restored from a backup.
 type Restorable interface {
-	// Era counts how often it did, by the answers so far.
+	// Era returns the number of restores, as far as the responses so far show.
 	Era() int64
 }
 
-// Store is the platform's key-value service. Every method may fail with
-// ErrUnavailable or ErrUncertain; a read that failed is always ErrUnavailable.
+// Store is the platform's key-value service. Every method may fail with ErrUnavailable, and every
+// method that writes with ErrUncertain; a read whose response was lost fails with ErrUnavailable.
 type Store interface {
-	// Get returns ErrNotFound when the key is absent.
+	// Get returns the entry of a key, or ErrNotFound when the key is absent.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Swap returns the new revision, or ErrConflict, ErrLease, ErrTooLarge.
+	// Swap writes or deletes a key if it has the expected revision, and returns the new revision.
+	// It may return ErrConflict, ErrLease and ErrTooLarge.
 	Swap(ctx context.Context, w Write) (int64, error)
-	// Watch returns the entry once its revision is above after. It returns
+	// Watch waits until the key's revision is above after and returns the entry. It returns
 	// ErrNotFound when the key was deleted, and waits no longer than ctx.
 	Watch(ctx context.Context, key string, after int64) (Entry, error)
-	// Grant makes a lease.
+	// Grant creates a lease with a time to live, and returns its id.
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
-	// KeepAlive prolongs a lease by its time to live, or returns ErrLease.
+	// KeepAlive renews a lease for its time to live, or returns ErrLease when it has expired.
 	KeepAlive(ctx context.Context, lease int64) error
-	// Revoke ends a lease and deletes its keys.
+	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease int64) error
 }
