--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,6 +1,5 @@
-// Package meter holds the counters and gauges of a host. Each refusal reason
-// and each retry cause has its counter from the start, so that an alert can be
-// set on one that never happened yet.
+// Package meter holds the Prometheus metrics of a host. Each refusal reason and each retry cause has
+// its counter from the start, at 0, so that alerts can be set on those that have not happened yet.
 package meter
 
 import (
@@ -12,23 +11,25 @@
 
 const namespace = "sardineward"
 
-// Meter is the set of one host.
+// Meter is the set of metrics of one host, all registered in Registry.
 type Meter struct {
 	Registry *prometheus.Registry
-	// Refusals counts by reason, Retries by cause.
+	// Refusals counts refused requests by reason, Retries counts further attempts by the cause
+	// that ended the attempt before.
 	Refusals, Retries *prometheus.CounterVec
-	// Requests counts answered requests by workspace and kind.
+	// Requests counts requests answered in full, by workspace and kind.
 	Requests *prometheus.CounterVec
-	// FirstToken and Gap are times of generations, in seconds.
+	// FirstToken is the time to the first token of a generation, Gap the time between two tokens
+	// of a generation, sampled; both in seconds.
 	FirstToken, Gap prometheus.Histogram
-	// LimitsUnreadable counts answers that named a limit which can't be read.
+	// LimitsUnreadable counts upstreams' responses with a limit that can't be parsed.
 	LimitsUnreadable prometheus.Counter
-	// Bound is the throughput bound by pipeline, in tokens a second.
+	// Bound is the upper bound of each pipeline's throughput, in tokens per second.
 	Bound *prometheus.GaugeVec
 }
 
-// New returns a meter whose refusals and retries have a counter for each of
-// the given labels.
+// New returns a Meter with a counter for each of the given reasons of refusals and causes of
+// retries. It also registers the metrics of the Go runtime and of the process.
 func New(reasons, causes []string) *Meter {
 	m := &Meter{
 		Registry:   prometheus.NewRegistry(),
@@ -55,17 +56,18 @@
 	return m
 }
 
-// Func registers a gauge that is read when asked for.
+// Func registers a gauge whose value f returns whenever the metrics are collected. It panics when
+// the name is taken.
 func (m *Meter) Func(name, help string, f func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, f))
 }
 
-// CounterFunc registers a counter that is read when asked for.
+// CounterFunc is like Func, but registers a counter; the value that f returns must never decrease.
 func (m *Meter) CounterFunc(name, help string, f func() float64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, f))
 }
 
-// Labels gives the names of an enum's values.
+// Labels returns the texts of an enum's values, for use as label values.
 func Labels[T fmt.Stringer](values []T) []string {
 	out := make([]string, len(values))
 	for i, v := range values {
@@ -74,10 +76,12 @@
 	return out
 }
 
+// counter returns a counter with labels, in the namespace of the program.
 func counter(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 }
 
+// histogram returns a histogram of durations in seconds, with buckets from 1 ms to 10 s.
 func histogram(name, help string) prometheus.Histogram {
 	return prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: namespace, Name: name, Help: help,
