--- a/docs/plot/main.go
+++ b/docs/plot/main.go
@@ -1,5 +1,6 @@
-// Command plot draws docs/policies.svg from the table of policies in
-// docs/MEASUREMENTS.md: tokens on time over the bound, by offered load.
+// Command plot draws docs/policies.svg from the table of policies in docs/MEASUREMENTS.md: the tokens
+// delivered on time by offered load, both relative to the bound of the throughput. Run it at the
+// root of the repository.
 package main
 
 import (
@@ -16,14 +17,16 @@
 )
 
 func main() {
-	if err := draw("docs/MEASUREMENTS.md", "docs/policies.svg"); err != nil {
+	if err := drawPolicies("docs/MEASUREMENTS.md", "docs/policies.svg"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func draw(from, to string) error {
-	names, points, err := read(from)
+// drawPolicies reads the points from one file and writes the plot, one line for each policy, to
+// another.
+func drawPolicies(from, to string) error {
+	names, points, err := readPoints(from)
 	if err != nil {
 		return err
 	}
@@ -42,8 +45,9 @@
 	return p.Save(16*vg.Centimeter, 11*vg.Centimeter, to)
 }
 
-// read takes the rows of the first table: policy, load, ratio.
-func read(file string) ([]string, map[string]plotter.XYs, error) {
+// readPoints returns the policies in their order in the file, and the points of each. It takes every
+// table row whose first three cells are a policy without a comma, a load and a ratio.
+func readPoints(file string) ([]string, map[string]plotter.XYs, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, nil, err
@@ -53,8 +57,8 @@
 	points := make(map[string]plotter.XYs)
 	for scan := bufio.NewScanner(f); scan.Scan(); {
 		cells := strings.Split(scan.Text(), "|")
-		const least = 5
-		if len(cells) < least || strings.Contains(cells[1], ",") {
+		const minCells = 5
+		if len(cells) < minCells || strings.Contains(cells[1], ",") {
 			continue
 		}
 		x, errX := strconv.ParseFloat(strings.TrimSpace(cells[2]), 64)
