--- a/gossiper/exchange.go
+++ b/gossiper/exchange.go
@@ -15,7 +15,7 @@
 	if it == nil {
 		return
 	}
-	if g.exchange(ctx, it.Host.GetAddress(), g.state.News(maxMessageBytes), true) {
+	if g.exchange(ctx, it.Host.GetAddress(), g.state.PendingUpdates(maxMessageBytes), true) {
 		return
 	}
 	if ctx.Err() != nil || g.probeIndirectly(ctx, it) {
@@ -200,7 +200,7 @@
 	address := addresses[g.Rand.IntN(len(addresses))]
 	g.mu.Unlock()
 	if address != g.Host.Address {
-		g.exchange(ctx, address, g.state.News(maxMessageBytes), true)
+		g.exchange(ctx, address, g.state.PendingUpdates(maxMessageBytes), true)
 	}
 }
 
@@ -239,7 +239,7 @@
 func (g *Gossiper) joinThrough(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 5*g.Period)
 	defer cancel()
-	return g.exchange(ctx, address, g.state.News(maxMessageBytes), false) && g.fullSync(ctx, address)
+	return g.exchange(ctx, address, g.state.PendingUpdates(maxMessageBytes), false) && g.fullSync(ctx, address)
 }
 
 // fullSync fetches a peer's whole state page by page, and reports whether it got all of it.
@@ -287,7 +287,7 @@
 	}
 	resp.Demands = g.demand.averageWith(req.Demands)
 	resp.Differing = int32(g.state.Differs(req.Digest))
-	resp.Items = g.state.News(maxMessageBytes)
+	resp.Items = g.state.PendingUpdates(maxMessageBytes)
 	g.mu.Lock()
 	start := g.Rand.IntN(1 << 20)
 	g.mu.Unlock()
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -179,10 +179,10 @@
 	return n
 }
 
-// News returns the recent updates to send next, in at most budget bytes: by priority, then the
+// PendingUpdates returns the recent updates to send next, in at most budget bytes: by priority, then the
 // least often sent first. Each is sent 2 + log2(hosts) times or so, after which nearly all hosts
 // have it; comparing digests repairs the rest.
-func (s *State) News(budget int) []*peer.Item {
+func (s *State) PendingUpdates(budget int) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.updateSends) == 0 {
