--- a/gossiper/exchange.go
+++ b/gossiper/exchange.go
@@ -291,7 +291,7 @@
 	g.mu.Lock()
 	start := g.Rand.IntN(1 << 20)
 	g.mu.Unlock()
-	resp.Items = append(resp.Items, g.state.Differing(req.Digest, start, maxMessageBytes)...)
+	resp.Items = append(resp.Items, g.state.DifferingItems(req.Digest, start, maxMessageBytes)...)
 	return resp, nil
 }
 
--- a/gossiper/sizes_test.go
+++ b/gossiper/sizes_test.go
@@ -47,7 +47,7 @@
 				t.Fatalf("digests of the two states differ")
 			}
 		}
-		if d := a.Differing(b.Digest(), 0, 1<<20); len(d) != 0 {
+		if d := a.DifferingItems(b.Digest(), 0, 1<<20); len(d) != 0 {
 			t.Fatalf("states differ in items %v", d)
 		}
 	})
@@ -129,7 +129,7 @@
 		digest := s.Digest()
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				s.Differing(digest, 0, 1200)
+				s.DifferingItems(digest, 0, 1200)
 				s.Digest()
 			}
 		})
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -216,11 +216,11 @@
 	return out
 }
 
-// Differing returns items of the buckets whose hash differs from that in digest, in at most
+// DifferingItems returns items of the buckets whose hash differs from that in digest, in at most
 // budget bytes. offset is the position among these items from which to start, modulo their
 // number; callers vary it so that a set too large for one message gets sent in full over time.
 // It returns nil for a digest of another number of buckets.
-func (s *State) Differing(digest []uint32, offset, budget int) []*peer.Item {
+func (s *State) DifferingItems(digest []uint32, offset, budget int) []*peer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(digest) != digestBuckets {
