--- a/gossiper/exchange.go
+++ b/gossiper/exchange.go
@@ -286,7 +286,7 @@
 		return resp, nil
 	}
 	resp.Demands = g.demand.averageWith(req.Demands)
-	resp.Differing = int32(g.state.Differs(req.Digest))
+	resp.Differing = int32(g.state.CountDiffering(req.Digest))
 	resp.Items = g.state.PendingUpdates(maxMessageBytes)
 	g.mu.Lock()
 	start := g.Rand.IntN(1 << 20)
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -165,9 +165,9 @@
 	return slices.Clone(s.digest[:])
 }
 
-// Differs returns the number of buckets whose hash differs from that in digest. Buckets that
+// CountDiffering returns the number of buckets whose hash differs from that in digest. Buckets that
 // digest lacks are not counted.
-func (s *State) Differs(digest []uint32) int {
+func (s *State) CountDiffering(digest []uint32) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
