--- a/faker/service.go
+++ b/faker/service.go
@@ -114,17 +114,17 @@
 	Lag time.Duration
 
 	mu      sync.Mutex
-	listed  map[string]prober.Listed
+	listed  map[string]prober.ListedHost
 	changes []change
 }
 
 type change struct {
 	at   time.Time
-	line prober.Listed
+	line prober.ListedHost
 }
 
 // Set changes a line.
-func (l *HostList) Set(line prober.Listed) {
+func (l *HostList) Set(line prober.ListedHost) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, change{time.Now().Add(l.Lag), line})
@@ -139,11 +139,11 @@
 	return mux
 }
 
-func (l *HostList) shown() []prober.Listed {
+func (l *HostList) shown() []prober.ListedHost {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listed == nil {
-		l.listed = make(map[string]prober.Listed)
+		l.listed = make(map[string]prober.ListedHost)
 	}
 	var later []change
 	for _, c := range l.changes {
@@ -154,7 +154,7 @@
 		l.listed[c.line.Name] = c.line
 	}
 	l.changes = later
-	out := make([]prober.Listed, 0, len(l.listed))
+	out := make([]prober.ListedHost, 0, len(l.listed))
 	for _, line := range l.listed {
 		out = append(out, line)
 	}
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -26,8 +26,8 @@
 // ErrRefused means that a connection was refused: nothing listens at the address.
 var ErrRefused = errors.New("prober: connection refused")
 
-// Listed is an entry of the platform's list of hosts. Name is that of an upstream.
-type Listed struct {
+// ListedHost is an entry of the platform's list of hosts. Name is that of an upstream.
+type ListedHost struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"incarnation"`
 	Leaving     bool   `json:"leaving"`
@@ -39,7 +39,7 @@
 	// connection was refused.
 	Probe(ctx context.Context, address string) (tracker.Load, error)
 	// List returns the platform's list of hosts.
-	List(ctx context.Context) ([]Listed, error)
+	List(ctx context.Context) ([]ListedHost, error)
 }
 
 // Prober probes the upstreams that this host owns and reports what it finds to the tracker. The
@@ -251,8 +251,8 @@
 }
 
 // List implements Upstreams.
-func (c *Client) List(ctx context.Context) ([]Listed, error) {
-	var list []Listed
+func (c *Client) List(ctx context.Context) ([]ListedHost, error) {
+	var list []ListedHost
 	err := c.get(ctx, "http://"+c.HostList+"/v1/hosts", &list)
 	return list, err
 }
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -47,7 +47,7 @@
 	run(t, 31, func(b *bench) {
 		e := b.world.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, func() {
-			b.world.HostList.Set(prober.Listed{Name: "port-front-0", Incarnation: e.Load().Incarnation, Leaving: true})
+			b.world.HostList.Set(prober.ListedHost{Name: "port-front-0", Incarnation: e.Load().Incarnation, Leaving: true})
 		})
 	})
 }
