--- a/prober/prober.go
+++ b/prober/prober.go
@@ -20,8 +20,8 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// Probers is the number of entry hosts that probe an upstream.
-const Probers = 2
+// ProbersPerUpstream is the number of entry hosts that probe an upstream.
+const ProbersPerUpstream = 2
 
 // ErrRefused means that a connection was refused: nothing listens at the address.
 var ErrRefused = errors.New("prober: connection refused")
@@ -156,7 +156,7 @@
 func (p *Prober) owned() []builder.Upstream {
 	var out []builder.Upstream
 	for _, u := range p.Tracker.Upstreams(p.DataCentre) {
-		if p.Owns("probe/"+u.Name, Probers) {
+		if p.Owns("probe/"+u.Name, ProbersPerUpstream) {
 			out = append(out, u)
 		}
 	}
--- a/runner/news.go
+++ b/runner/news.go
@@ -27,7 +27,7 @@
 // against what they see.
 func (n news) AnnounceDown(upstream string, incarnation int64, down bool) {
 	u, ok := n.track.Upstream(upstream)
-	if !ok || u.DataCentre != n.Settings.DataCentre || !n.probe.Owns("probe/"+upstream, prober.Probers) {
+	if !ok || u.DataCentre != n.Settings.DataCentre || !n.probe.Owns("probe/"+upstream, prober.ProbersPerUpstream) {
 		return
 	}
 	n.track.RecordProberReport(time.Now(), upstream, incarnation, down)
