--- a/prober/prober.go
+++ b/prober/prober.go
@@ -33,8 +33,8 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// Upstreams is how a Prober reaches upstreams and the list of hosts; Client implements it over HTTP.
-type Upstreams interface {
+// UpstreamClient is how a Prober reaches upstreams and the list of hosts; Client implements it over HTTP.
+type UpstreamClient interface {
 	// Probe returns the load of the upstream at an address. The error wraps ErrRefused when the
 	// connection was refused.
 	Probe(ctx context.Context, address string) (tracker.Load, error)
@@ -45,7 +45,7 @@
 // Prober probes the upstreams that this host owns and reports what it finds to the tracker. The
 // exported fields are set before Run.
 type Prober struct {
-	Upstreams Upstreams
+	Upstreams UpstreamClient
 	Tracker   *tracker.Tracker
 	// Owns reports whether this host is one of the n hosts of its data centre that own a key.
 	Owns       func(key string, n int) bool
