--- a/prober/prober.go
+++ b/prober/prober.go
@@ -66,9 +66,9 @@
 	requested chan string
 }
 
-// Doubt requests probes of upstreams at once, without waiting for them. Requests beyond the
+// ProbeNow requests probes of upstreams at once, without waiting for them. Requests beyond the
 // capacity of the queue are dropped.
-func (p *Prober) Doubt(names []string) {
+func (p *Prober) ProbeNow(names []string) {
 	p.init()
 	for _, n := range names {
 		select {
--- a/runner/news.go
+++ b/runner/news.go
@@ -55,7 +55,7 @@
 }
 
 // ProbeSoon implements router.News.
-func (n news) ProbeSoon(upstreams []string) { n.probe.Doubt(upstreams) }
+func (n news) ProbeSoon(upstreams []string) { n.probe.ProbeNow(upstreams) }
 
 // FindUnresponsive implements router.News. A probe is given as long as a stall takes to
 // show, twice the round trip at the least.
