--- a/prober/prober.go
+++ b/prober/prober.go
@@ -110,10 +110,10 @@
 	}
 }
 
-// Ask probes upstreams concurrently, reports their loads to the tracker, and returns the name of one
+// FindUnresponsive probes upstreams concurrently, reports their loads to the tracker, and returns the name of one
 // that did not answer before ctx ended. It returns an empty name when all did; upstreams that the
 // tracker does not know count as answered.
-func (p *Prober) Ask(ctx context.Context, names []string) string {
+func (p *Prober) FindUnresponsive(ctx context.Context, names []string) string {
 	results := make(chan string, len(names))
 	for _, name := range names {
 		go func() {
--- a/runner/news.go
+++ b/runner/news.go
@@ -62,7 +62,7 @@
 func (n news) FindUnresponsive(ctx context.Context, upstreams []string) string {
 	ctx, cancel := context.WithTimeout(ctx, ms(n.Settings.Timing.StallFloorMs))
 	defer cancel()
-	return n.probe.Ask(ctx, upstreams)
+	return n.probe.FindUnresponsive(ctx, upstreams)
 }
 
 // heard takes in what is new, from this host or another.
