--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -247,28 +247,28 @@
 // exportMetrics registers what is read when it is asked for.
 func (h *Host) exportMetrics() {
 	m := h.meter
-	m.Func("knowledge_age_seconds", "Age of configuration, keys and list, also by what peers answered.", func() float64 { return h.follow.Age().Seconds() })
-	m.Func("source_age_seconds", "Age of what this host read from the store itself.", func() float64 { return h.follow.OwnAge().Seconds() })
-	m.Func("read_age_seconds", "Age of what this host read from the store or was told by a relay.", func() float64 { return h.follow.ReadAge().Seconds() })
-	m.Func("reader", "1 while this host reads the store for its data centre.", func() float64 { return gauge(h.share.ReadsSource()) })
-	m.Func("relay", "1 while the hosts of this data centre report to this one.", func() float64 { return gauge(h.share.IsRelay()) })
-	m.Func("source_revision", "Revision of the store up to which this host knows upstreams and hosts.", func() float64 { return float64(h.follow.Position().Revision) })
-	m.Func("source_era", "How often the store came back from a copy, as this host knows; 0 where it does not say.", func() float64 { return float64(h.follow.Position().Era) })
-	m.Func("configuration_version", "Version of the configuration in force; 0 is none.", func() float64 {
+	m.GaugeFunc("knowledge_age_seconds", "Age of configuration, keys and list, also by what peers answered.", func() float64 { return h.follow.Age().Seconds() })
+	m.GaugeFunc("source_age_seconds", "Age of what this host read from the store itself.", func() float64 { return h.follow.OwnAge().Seconds() })
+	m.GaugeFunc("read_age_seconds", "Age of what this host read from the store or was told by a relay.", func() float64 { return h.follow.ReadAge().Seconds() })
+	m.GaugeFunc("reader", "1 while this host reads the store for its data centre.", func() float64 { return gauge(h.share.ReadsSource()) })
+	m.GaugeFunc("relay", "1 while the hosts of this data centre report to this one.", func() float64 { return gauge(h.share.IsRelay()) })
+	m.GaugeFunc("source_revision", "Revision of the store up to which this host knows upstreams and hosts.", func() float64 { return float64(h.follow.Position().Revision) })
+	m.GaugeFunc("source_era", "How often the store came back from a copy, as this host knows; 0 where it does not say.", func() float64 { return float64(h.follow.Position().Era) })
+	m.GaugeFunc("configuration_version", "Version of the configuration in force; 0 is none.", func() float64 {
 		if t := h.follow.Table(); t != nil {
 			return float64(t.Version)
 		}
 		return 0
 	})
-	m.Func("hosts", "Other entry hosts that are listed.", func() float64 { return float64(len(h.follow.Hosts())) })
-	m.Func("requests_in_flight", "Requests being answered.", func() float64 { return float64(h.forward.InFlight()) })
-	m.Func("ready", "1 while this host takes requests.", func() float64 { return gauge(h.forward.Ready()) })
-	m.Func("duty_held", "1 while this host gives orders to engines.", func() float64 { return gauge(h.register.HoldingAny()) })
+	m.GaugeFunc("hosts", "Other entry hosts that are listed.", func() float64 { return float64(len(h.follow.Hosts())) })
+	m.GaugeFunc("requests_in_flight", "Requests being answered.", func() float64 { return float64(h.forward.InFlight()) })
+	m.GaugeFunc("ready", "1 while this host takes requests.", func() float64 { return gauge(h.forward.Ready()) })
+	m.GaugeFunc("duty_held", "1 while this host gives orders to engines.", func() float64 { return gauge(h.register.HoldingAny()) })
 	for _, state := range balancer.StateValues() {
-		m.Func("upstreams_"+state.String(), "Upstreams in this state.", func() float64 { return float64(h.balancer.Count(h.Now(), state)) })
+		m.GaugeFunc("upstreams_"+state.String(), "Upstreams in this state.", func() float64 { return float64(h.balancer.Count(h.Now(), state)) })
 	}
-	m.Func("upstreams_in_use", "Upstreams that this host sends to or has requests at; a part of a large fleet.", func() float64 { return float64(h.balancer.SubsetSize(h.Now())) })
-	m.Func("limits_in_force", "Upstreams that name a limit in their answers.", func() float64 { return float64(h.balancer.LimitCount()) })
+	m.GaugeFunc("upstreams_in_use", "Upstreams that this host sends to or has requests at; a part of a large fleet.", func() float64 { return float64(h.balancer.SubsetSize(h.Now())) })
+	m.GaugeFunc("limits_in_force", "Upstreams that name a limit in their answers.", func() float64 { return float64(h.balancer.LimitCount()) })
 	m.CounterFunc("limited_requests_sent_total", "Requests sent to upstreams while they named a limit.", func() float64 { return float64(h.balancer.LimitedSentCount()) })
 	m.CounterFunc("limited_requests_held_off_total", "Requests that did not go to an upstream since its limit had no room.", func() float64 { return float64(h.balancer.ThrottledCount()) })
 	if h.Dropped != nil {
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -56,9 +56,9 @@
 	return m
 }
 
-// Func registers a gauge whose value f returns whenever the metrics are collected. It panics when
+// GaugeFunc registers a gauge whose value f returns whenever the metrics are collected. It panics when
 // the name is taken.
-func (m *Meter) Func(name, help string, f func() float64) {
+func (m *Meter) GaugeFunc(name, help string, f func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, f))
 }
 
--- a/runner/build.go
+++ b/runner/build.go
@@ -233,10 +233,10 @@
 }
 
 func (h *Host) exportMetrics() {
-	h.meter.Func("revision", "Configuration revision in force.", func() float64 { return float64(h.watch.Revision()) })
-	h.meter.Func("live_hosts", "Entry hosts that answer callers, as known here.", func() float64 { return float64(len(h.gossip.Live())) })
-	h.meter.Func("in_flight", "Requests being answered.", func() float64 { return float64(h.serve.InFlight()) })
-	h.meter.Func("holds_orders", "Whether this host gives orders to engines.", func() float64 {
+	h.meter.GaugeFunc("revision", "Configuration revision in force.", func() float64 { return float64(h.watch.Revision()) })
+	h.meter.GaugeFunc("live_hosts", "Entry hosts that answer callers, as known here.", func() float64 { return float64(len(h.gossip.Live())) })
+	h.meter.GaugeFunc("in_flight", "Requests being answered.", func() float64 { return float64(h.serve.InFlight()) })
+	h.meter.GaugeFunc("holds_orders", "Whether this host gives orders to engines.", func() float64 {
 		if h.plan.Holding() {
 			return 1
 		}
