--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -101,7 +101,7 @@
 	k.Balancer.RecordSuccess(now, a.lease.First.ID, nil)
 	k.recordSuccess()
 	k.sampleLatency(now, false)
-	k.Meter.Gap.Observe(gap.Seconds())
+	k.Meter.TokenGap.Observe(gap.Seconds())
 	k.Log.Debug().Str("requestId", k.id).Str("route", k.route.Name).Dur("first", k.firstEventLatency).Dur("longestGap", gap).
 		Dur("whole", now-k.arrivedAt).Int("runs", k.runs).Int32("moves", a.repaths.Load()).Str("hops", FormatPath(k.Balancer.Path(a.lease))).
 		Msg("forwarder: stream answered")
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -21,7 +21,7 @@
 	Requests *prometheus.CounterVec
 	// FirstToken is the time to the first token of a generation, Gap the time between two tokens
 	// of a generation, sampled; both in seconds.
-	FirstToken, Gap prometheus.Histogram
+	FirstToken, TokenGap prometheus.Histogram
 	// LimitsUnreadable counts upstreams' responses with a limit that can't be parsed.
 	LimitsUnreadable prometheus.Counter
 	// Bound is the upper bound of each pipeline's throughput, in tokens per second.
@@ -37,7 +37,7 @@
 		Retries:    counter("retries_total", "Further attempts, by the cause that ended the one before.", "cause"),
 		Requests:   counter("requests_total", "Requests answered whole.", "workspace", "kind"),
 		FirstToken: histogram("first_token_seconds", "Time to the first token of a generation."),
-		Gap:        histogram("token_gap_seconds", "Time between tokens of a generation, sampled."),
+		TokenGap:   histogram("token_gap_seconds", "Time between tokens of a generation, sampled."),
 		LimitsUnreadable: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "limits_unreadable_total", Help: "Answers that named a limit which can't be read.",
 		}),
@@ -51,7 +51,7 @@
 	for _, c := range causes {
 		m.Retries.WithLabelValues(c)
 	}
-	m.Registry.MustRegister(m.Refusals, m.Retries, m.Requests, m.FirstToken, m.Gap, m.LimitsUnreadable, m.Bound)
+	m.Registry.MustRegister(m.Refusals, m.Retries, m.Requests, m.FirstToken, m.TokenGap, m.LimitsUnreadable, m.Bound)
 	m.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
--- a/server/completions.go
+++ b/server/completions.go
@@ -150,7 +150,7 @@
 	k.Router.RecordAnswer(job, res.Tokens, took)
 	k.Meter.Requests.WithLabelValues(job.Workspace, "generation").Inc()
 	if n := res.Tokens; n > 1 {
-		k.Meter.Gap.Observe(took.Seconds() / float64(n-1))
+		k.Meter.TokenGap.Observe(took.Seconds() / float64(n-1))
 	}
 	return out.end(res)
 }
