--- a/meter/meter.go
+++ b/meter/meter.go
@@ -24,8 +24,8 @@
 	FirstToken, TokenGap prometheus.Histogram
 	// LimitsUnreadable counts upstreams' responses with a limit that can't be parsed.
 	LimitsUnreadable prometheus.Counter
-	// Bound is the upper bound of each pipeline's throughput, in tokens per second.
-	Bound *prometheus.GaugeVec
+	// ThroughputBound is the upper bound of each pipeline's throughput, in tokens per second.
+	ThroughputBound *prometheus.GaugeVec
 }
 
 // New returns a Meter with a counter for each of the given reasons of refusals and causes of
@@ -41,7 +41,7 @@
 		LimitsUnreadable: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "limits_unreadable_total", Help: "Answers that named a limit which can't be read.",
 		}),
-		Bound: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		ThroughputBound: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "bound_tokens_per_second", Help: "Most tokens a second that what is up can carry.",
 		}, []string{"pipeline"}),
 	}
@@ -51,7 +51,7 @@
 	for _, c := range causes {
 		m.Retries.WithLabelValues(c)
 	}
-	m.Registry.MustRegister(m.Refusals, m.Retries, m.Requests, m.FirstToken, m.TokenGap, m.LimitsUnreadable, m.Bound)
+	m.Registry.MustRegister(m.Refusals, m.Retries, m.Requests, m.FirstToken, m.TokenGap, m.LimitsUnreadable, m.ThroughputBound)
 	m.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -243,7 +243,7 @@
 	}
 	for _, p := range cfg.Pipelines {
 		if b, err := h.track.ThroughputBound(now, p.Name, false); err == nil {
-			h.meter.Bound.WithLabelValues(p.Name).Set(b)
+			h.meter.ThroughputBound.WithLabelValues(p.Name).Set(b)
 		}
 	}
 }
