--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -168,7 +168,7 @@
 	}
 	h.defaults()
 	h.budgets.New = h.newBudget
-	h.meter = meter.New(meter.Labels(admitter.ReasonValues()), meter.Labels(streamer.CauseValues()))
+	h.meter = meter.New(meter.LabelValues(admitter.ReasonValues()), meter.LabelValues(streamer.CauseValues()))
 	h.balancer = &balancer.Balancer{
 		Host:       cfg.Host,
 		DataCentre: cfg.DataCentre,
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -67,8 +67,8 @@
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, f))
 }
 
-// Labels returns the texts of an enum's values, for use as label values.
-func Labels[T fmt.Stringer](values []T) []string {
+// LabelValues returns the texts of an enum's values, for use as label values.
+func LabelValues[T fmt.Stringer](values []T) []string {
 	out := make([]string, len(values))
 	for i, v := range values {
 		out[i] = v.String()
--- a/runner/build.go
+++ b/runner/build.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	h.conns = h.transport()
-	h.meter = meter.New(meter.Labels(admitter.ReasonValues()), meter.Labels(streamer.CauseValues()))
+	h.meter = meter.New(meter.LabelValues(admitter.ReasonValues()), meter.LabelValues(streamer.CauseValues()))
 	cfg := h.Settings
 	h.store = &storer.Client{Address: cfg.Platform, HTTP: &http.Client{Transport: h.conns}, Timeout: ms(cfg.Timing.PlatformMs)}
 	h.buildGossip()
