--- a/checker/witness.go
+++ b/checker/witness.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Witness tracks whether an upstream may have started a request. The clients of upstreams report to
+// ExecutionTracker tracks whether an upstream may have started a request. The clients of upstreams report to
 // it directly, so that it is independent of the decisions that are checked against it.
-type Witness struct {
+type ExecutionTracker struct {
 	// started counts the attempts that were sent and not declined.
 	started atomic.Int64
 }
@@ -16,25 +16,25 @@
 type trackerKey struct{}
 
 // WithWitness returns a context that carries a new witness.
-func WithWitness(ctx context.Context) (context.Context, *Witness) {
-	w := new(Witness)
+func WithWitness(ctx context.Context) (context.Context, *ExecutionTracker) {
+	w := new(ExecutionTracker)
 	return context.WithValue(ctx, trackerKey{}, w), w
 }
 
 // Sent records that a connection to an upstream was obtained for the context's request, so that the
 // upstream may start it. It does nothing for a context without a Witness, as does Declined.
 func Sent(ctx context.Context) {
-	if w, ok := ctx.Value(trackerKey{}).(*Witness); ok {
+	if w, ok := ctx.Value(trackerKey{}).(*ExecutionTracker); ok {
 		w.started.Add(1)
 	}
 }
 
 // Declined undoes one call of Sent, after the upstream answered that it did not start the request.
 func Declined(ctx context.Context) {
-	if w, ok := ctx.Value(trackerKey{}).(*Witness); ok {
+	if w, ok := ctx.Value(trackerKey{}).(*ExecutionTracker); ok {
 		w.started.Add(-1)
 	}
 }
 
 // Started reports whether an upstream may have started the request.
-func (w *Witness) Started() bool { return w.started.Load() > 0 }
+func (w *ExecutionTracker) Started() bool { return w.started.Load() > 0 }
--- a/router/router.go
+++ b/router/router.go
@@ -362,7 +362,7 @@
 // refusal marked as not run is right. started is whether an upstream may have started the request
 // according to the code that sent it, w is the same according to the clients of upstreams; w is nil
 // when the request did not get that far.
-func (r *Router) Refuse(requestID string, err error, started bool, w *checker.Witness) *admitter.Refusal {
+func (r *Router) Refuse(requestID string, err error, started bool, w *checker.ExecutionTracker) *admitter.Refusal {
 	var refusal *admitter.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = &admitter.Refusal{Reason: admitter.ReasonUpstream, RetryAfter: retryAfter, Detail: err.Error()}
--- a/server/server.go
+++ b/server/server.go
@@ -124,7 +124,7 @@
 	catalogue *catalogue
 	deadline  time.Time
 	body      []byte
-	witness   *checker.Witness
+	witness   *checker.ExecutionTracker
 	// started is set once an upstream may have started the request.
 	started bool
 	// path is what follows the service's name.
@@ -316,6 +316,6 @@
 
 // unrouted answers what matches no route.
 func (s *Server) unrouted(err error, c echo.Context) {
-	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), witness: new(checker.Witness)}
+	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), witness: new(checker.ExecutionTracker)}
 	k.refuse(refusal(admitter.ReasonUnknown, err.Error()))
 }
