--- a/checker/witness.go
+++ b/checker/witness.go
@@ -15,8 +15,8 @@
 // trackerKey is the context key of the request's Witness.
 type trackerKey struct{}
 
-// WithWitness returns a context that carries a new witness.
-func WithWitness(ctx context.Context) (context.Context, *ExecutionTracker) {
+// WithExecutionTracker returns a context that carries a new witness.
+func WithExecutionTracker(ctx context.Context) (context.Context, *ExecutionTracker) {
 	w := new(ExecutionTracker)
 	return context.WithValue(ctx, trackerKey{}, w), w
 }
--- a/server/server.go
+++ b/server/server.go
@@ -140,7 +140,7 @@
 		s.inFlight.Add(1)
 		defer s.open.Done()
 		defer s.inFlight.Add(-1)
-		ctx, witness := checker.WithWitness(c.Request().Context())
+		ctx, witness := checker.WithExecutionTracker(c.Request().Context())
 		k := &call{
 			Server:      s,
 			w:           c.Response().Writer,
