--- a/checker/witness.go
+++ b/checker/witness.go
@@ -21,9 +21,9 @@
 	return context.WithValue(ctx, trackerKey{}, w), w
 }
 
-// Sent records that a connection to an upstream was obtained for the context's request, so that the
+// RecordSent records that a connection to an upstream was obtained for the context's request, so that the
 // upstream may start it. It does nothing for a context without a Witness, as does Declined.
-func Sent(ctx context.Context) {
+func RecordSent(ctx context.Context) {
 	if w, ok := ctx.Value(trackerKey{}).(*ExecutionTracker); ok {
 		w.started.Add(1)
 	}
--- a/server/caller.go
+++ b/server/caller.go
@@ -73,7 +73,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			if connected.CompareAndSwap(false, true) {
-				checker.Sent(ctx)
+				checker.RecordSent(ctx)
 			}
 		},
 	})
--- a/streamer/client.go
+++ b/streamer/client.go
@@ -53,7 +53,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			if connected.CompareAndSwap(false, true) {
-				checker.Sent(ctx)
+				checker.RecordSent(ctx)
 			}
 		},
 	})
