--- a/checker/witness.go
+++ b/checker/witness.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Declined undoes one call of Sent, after the upstream answered that it did not start the request.
-func Declined(ctx context.Context) {
+// RecordDeclined undoes one call of Sent, after the upstream answered that it did not start the request.
+func RecordDeclined(ctx context.Context) {
 	if w, ok := ctx.Value(trackerKey{}).(*ExecutionTracker); ok {
 		w.started.Add(-1)
 	}
--- a/server/caller.go
+++ b/server/caller.go
@@ -94,7 +94,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(notRunHeader) == "true" {
-		checker.Declined(ctx)
+		checker.RecordDeclined(ctx)
 		return nil, &DeclinedError{resp.StatusCode}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse+1))
--- a/streamer/client.go
+++ b/streamer/client.go
@@ -83,7 +83,7 @@
 		return fmt.Errorf("engine responded with status %d and no valid error", resp.StatusCode)
 	}
 	if e.NotRun {
-		checker.Declined(ctx)
+		checker.RecordDeclined(ctx)
 	}
 	return e
 }
