--- a/checker/witness.go
+++ b/checker/witness.go
@@ -36,5 +36,5 @@
 	}
 }
 
-// Started reports whether an upstream may have started the request.
-func (w *ExecutionTracker) Started() bool { return w.started.Load() > 0 }
+// MayHaveStarted reports whether an upstream may have started the request.
+func (w *ExecutionTracker) MayHaveStarted() bool { return w.started.Load() > 0 }
--- a/router/router.go
+++ b/router/router.go
@@ -369,7 +369,7 @@
 	}
 	out := *refusal
 	out.NotRun = out.NotRun && !started
-	r.Checker.Assert(!out.NotRun || w == nil || !w.Started(), checker.InvariantNotRun, requestID, "refused as not run, but an upstream may have started it: %v", err)
+	r.Checker.Assert(!out.NotRun || w == nil || !w.MayHaveStarted(), checker.InvariantNotRun, requestID, "refused as not run, but an upstream may have started it: %v", err)
 	r.Meter.Refusals.WithLabelValues(out.Reason.String()).Inc()
 	return &out
 }
