--- a/soaker/proxy.go
+++ b/soaker/proxy.go
@@ -61,8 +61,8 @@
 	p.resetAll()
 }
 
-// Set changes the mode for open and new connections.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode for open and new connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	p.mode = m
 	p.mu.Unlock()
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -336,9 +336,9 @@
 	// Long enough for the host's keys to become too old to be used.
 	lasts *= 3
 	r.recordFault("store "+mode.String(), n, lasts, false)
-	r.cluster.hosts[n].storeLink.Set(mode)
+	r.cluster.hosts[n].storeLink.SetMode(mode)
 	time.Sleep(lasts)
-	r.cluster.hosts[n].storeLink.Set(ModePass)
+	r.cluster.hosts[n].storeLink.SetMode(ModePass)
 }
 
 // crashUpstream stops a random upstream's server and starts it again after the fault.
@@ -357,9 +357,9 @@
 	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
 	mode := Mode(1 + rnd.IntN(len(ModeValues())-1))
 	r.recordFault("link "+mode.String()+" "+u.ID, -1, lasts, false)
-	u.link.Set(mode)
+	u.link.SetMode(mode)
 	time.Sleep(lasts)
-	u.link.Set(ModePass)
+	u.link.SetMode(ModePass)
 }
 
 // leaveUpstream marks a random upstream as leaving, for good. The upstream of each service whose
