--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -84,7 +84,7 @@
 	}
 	defer log.Close()
 	r := &soaker.Run{Seed: seed, Length: length, Hosts: hosts, Callers: callers, Binary: binary, Dir: dir, Log: zerolog.New(log).With().Timestamp().Logger()}
-	report, err := r.Play(ctx)
+	report, err := r.Execute(ctx)
 	if err != nil {
 		fmt.Printf("seed %d: %v\n", seed, err)
 		return false
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -66,10 +66,10 @@
 	callTimeout = 6 * time.Second
 )
 
-// Play starts the cluster, sends requests and injects faults for Length, and checks what was
+// Execute starts the cluster, sends requests and injects faults for Length, and checks what was
 // observed. When ctx ends it stops injecting and reports early. All that it started has ended
 // when it returns. An error means that the cluster could not be started.
-func (r *Run) Play(ctx context.Context) (*Report, error) {
+func (r *Run) Execute(ctx context.Context) (*Report, error) {
 	var err error
 	if r.cluster, err = newCluster(r.Dir, r.Binary, r.Hosts, r.Seed); err != nil {
 		return nil, err
