--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -90,7 +90,7 @@
 		return false
 	}
 	fmt.Printf("seed %d: %d requests, %d answered; in calm times %d, %d; %d faults, %d broken\n",
-		seed, report.Calls, report.Answered, report.Undisturbed, report.CalmAnswered, len(report.Faults), len(report.Broken))
+		seed, report.Calls, report.Answered, report.Undisturbed, report.UndisturbedAnswered, len(report.Faults), len(report.Broken))
 	for n, text := range report.Broken {
 		if n == mostBroken {
 			fmt.Println("  …")
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -46,7 +46,7 @@
 	// Calls counts the requests sent, Answered those answered in full with status 200. Calm and
 	// CalmAnswered count the same among the undisturbed requests, which no unplanned fault
 	// could affect.
-	Calls, Answered, Undisturbed, CalmAnswered int
+	Calls, Answered, Undisturbed, UndisturbedAnswered int
 	// Faults lists the injected faults as kind@host; host -1 stands for all hosts.
 	Faults []string
 	// Broken describes each violation of a guarantee; it is empty when the run passed.
@@ -110,9 +110,9 @@
 	for _, i := range r.history.incidents {
 		out.Faults = append(out.Faults, fmt.Sprintf("%s@%d", i.fault, i.host))
 	}
-	out.Undisturbed, out.CalmAnswered = r.history.countUndisturbed()
-	if float64(out.CalmAnswered) < minUndisturbedShare*float64(out.Undisturbed) {
-		out.Broken = append(out.Broken, fmt.Sprintf("too few undisturbed requests were answered: %d of %d", out.CalmAnswered, out.Undisturbed))
+	out.Undisturbed, out.UndisturbedAnswered = r.history.countUndisturbed()
+	if float64(out.UndisturbedAnswered) < minUndisturbedShare*float64(out.Undisturbed) {
+		out.Broken = append(out.Broken, fmt.Sprintf("too few undisturbed requests were answered: %d of %d", out.UndisturbedAnswered, out.Undisturbed))
 	}
 	return out
 }
