--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -90,13 +90,13 @@
 		return false
 	}
 	fmt.Printf("seed %d: %d requests, %d answered; in calm times %d, %d; %d faults, %d broken\n",
-		seed, report.Calls, report.Answered, report.Undisturbed, report.UndisturbedAnswered, len(report.Faults), len(report.Broken))
-	for n, text := range report.Broken {
+		seed, report.Calls, report.Answered, report.Undisturbed, report.UndisturbedAnswered, len(report.Faults), len(report.Violations))
+	for n, text := range report.Violations {
 		if n == mostBroken {
 			fmt.Println("  …")
 			break
 		}
 		fmt.Println("  " + text)
 	}
-	return len(report.Broken) == 0
+	return len(report.Violations) == 0
 }
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -49,8 +49,8 @@
 	Calls, Answered, Undisturbed, UndisturbedAnswered int
 	// Faults lists the injected faults as kind@host; host -1 stands for all hosts.
 	Faults []string
-	// Broken describes each violation of a guarantee; it is empty when the run passed.
-	Broken []string
+	// Violations describes each violation of a guarantee; it is empty when the run passed.
+	Violations []string
 }
 
 const (
@@ -101,7 +101,7 @@
 
 // report checks the history and summarises it.
 func (r *Run) report() *Report {
-	out := &Report{Seed: r.Seed, Calls: len(r.history.calls), Broken: r.history.check(r.cluster)}
+	out := &Report{Seed: r.Seed, Calls: len(r.history.calls), Violations: r.history.check(r.cluster)}
 	for _, c := range r.history.calls {
 		if c.status == http.StatusOK && c.err == nil {
 			out.Answered++
@@ -112,7 +112,7 @@
 	}
 	out.Undisturbed, out.UndisturbedAnswered = r.history.countUndisturbed()
 	if float64(out.UndisturbedAnswered) < minUndisturbedShare*float64(out.Undisturbed) {
-		out.Broken = append(out.Broken, fmt.Sprintf("too few undisturbed requests were answered: %d of %d", out.UndisturbedAnswered, out.Undisturbed))
+		out.Violations = append(out.Violations, fmt.Sprintf("too few undisturbed requests were answered: %d of %d", out.UndisturbedAnswered, out.Undisturbed))
 	}
 	return out
 }
