--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -320,7 +320,7 @@
 func (d *Deduplicator) storeBody(rec Record, out Outcome) *Outcome {
 	body := out.Body
 	out.Body, out.StoredSeparately = nil, true
-	if len(body) > storer.MaxValue {
+	if len(body) > storer.MaxValueBytes {
 		return &out
 	}
 	for range 5 {
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -179,7 +179,7 @@
 	p.init()
 	p.lapse()
 	switch {
-	case len(w.Value) > storer.MaxValue:
+	case len(w.Value) > storer.MaxValueBytes:
 		return 0, storer.ErrTooLarge
 	case p.entries[w.Key].Revision != w.Expect:
 		return 0, storer.ErrConflict
--- a/storer/client.go
+++ b/storer/client.go
@@ -75,7 +75,7 @@
 
 // Swap implements Store.
 func (c *Client) Swap(ctx context.Context, w Write) (int64, error) {
-	if len(w.Value) > MaxValue {
+	if len(w.Value) > MaxValueBytes {
 		return 0, ErrTooLarge
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -27,8 +27,8 @@
 	ErrTooLarge = errors.New("storer: value too large")
 )
 
-// MaxValue is the largest size of a value that the service stores, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest size of a value that the service stores, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Entry is a key's value at a revision.
 type Entry struct {
