--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -19,7 +19,7 @@
 	"github.com/sardineward/sardineward/platform"
 )
 
-// Run is one fault-injection run. The exported fields are set before Play.
+// Run is one fault-injection run. The exported fields are set before Execute.
 type Run struct {
 	// Seed determines everything random; runs with the same seed inject the same faults.
 	Seed uint64
@@ -43,9 +43,9 @@
 // Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Calls counts the requests sent, Answered those answered in full with status 200. Calm and
-	// CalmAnswered count the same among the undisturbed requests, which no unplanned fault
-	// could affect.
+	// Calls counts the requests sent, Answered those answered in full with status 200.
+	// Undisturbed and UndisturbedAnswered count the same among the requests with keys that were
+	// never revoked, sent to hosts in rotation, which no unplanned fault could affect.
 	Calls, Answered, Undisturbed, UndisturbedAnswered int
 	// Faults lists the injected faults as kind@host; host -1 stands for all hosts.
 	Faults []string
