--- a/prober/prober.go
+++ b/prober/prober.go
@@ -33,7 +33,8 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// UpstreamClient is how a Prober reaches upstreams and the list of hosts; Client implements it over HTTP.
+// UpstreamClient is how a Prober reaches upstreams and the list of hosts; Client implements it over
+// HTTP.
 type UpstreamClient interface {
 	// Probe returns the load of the upstream at an address. The error wraps ErrRefused when the
 	// connection was refused.
@@ -78,7 +79,7 @@
 	}
 }
 
-// init makes the channel of requests, which Doubt may need before Run.
+// init makes the channel of requests, which ProbeNow may need before Run.
 func (p *Prober) init() {
 	p.once.Do(func() { p.requested = make(chan string, 256) })
 }
@@ -110,9 +111,9 @@
 	}
 }
 
-// FindUnresponsive probes upstreams concurrently, reports their loads to the tracker, and returns the name of one
-// that did not answer before ctx ended. It returns an empty name when all did; upstreams that the
-// tracker does not know count as answered.
+// FindUnresponsive probes upstreams concurrently, reports their loads to the tracker, and returns the
+// name of one whose probe failed or did not end before ctx. An empty name means that all answered;
+// upstreams that the tracker does not know count as answered.
 func (p *Prober) FindUnresponsive(ctx context.Context, names []string) string {
 	results := make(chan string, len(names))
 	for _, name := range names {
@@ -231,7 +232,7 @@
 	}
 }
 
-// Client implements Upstreams over HTTP.
+// Client implements UpstreamClient over HTTP.
 type Client struct {
 	HTTP *http.Client
 	// HostList is the IP:port of the service that lists hosts; empty means that there is none.
@@ -240,7 +241,7 @@
 	Refused func(error) bool
 }
 
-// Probe implements Upstreams.
+// Probe implements UpstreamClient.
 func (c *Client) Probe(ctx context.Context, address string) (tracker.Load, error) {
 	var load tracker.Load
 	err := c.get(ctx, "http://"+address+"/v1/load", &load)
@@ -250,7 +251,7 @@
 	return load, err
 }
 
-// List implements Upstreams.
+// List implements UpstreamClient.
 func (c *Client) List(ctx context.Context) ([]ListedHost, error) {
 	var list []ListedHost
 	err := c.get(ctx, "http://"+c.HostList+"/v1/hosts", &list)
