--- a/storer/storer.go
+++ b/storer/storer.go
@@ -23,17 +23,17 @@
 	ErrUncertain = errors.New("storer: response lost, outcome unknown")
 	// ErrLease means that the lease does not exist any more.
 	ErrLease = errors.New("storer: lease expired")
-	// ErrTooLarge means that the value has more than MaxValue bytes.
+	// ErrTooLarge means that the value has more than MaxValueBytes bytes.
 	ErrTooLarge = errors.New("storer: value too large")
 )
 
-// MaxValueBytes is the largest size of a value that the service stores, in bytes.
+// MaxValueBytes is the largest size of a value that the service stores.
 const MaxValueBytes = 1 << 20
 
 // Entry is a key's value at a revision.
 type Entry struct {
 	Key string `json:"key"`
-	// Value is at most MaxValue bytes.
+	// Value is at most MaxValueBytes long.
 	Value []byte `json:"value"`
 	// Revision rises with every write to the key; 0 means that the key is absent.
 	Revision int64 `json:"revision"`
