--- a/meter/meter.go
+++ b/meter/meter.go
@@ -19,8 +19,8 @@
 	Refusals, Retries *prometheus.CounterVec
 	// Requests counts requests answered in full, by workspace and kind.
 	Requests *prometheus.CounterVec
-	// FirstToken is the time to the first token of a generation, Gap the time between two tokens
-	// of a generation, sampled; both in seconds.
+	// FirstToken is the time to the first token of a generation, TokenGap the time between two
+	// tokens of a generation, sampled; both in seconds.
 	FirstToken, TokenGap prometheus.Histogram
 	// LimitsUnreadable counts upstreams' responses with a limit that can't be parsed.
 	LimitsUnreadable prometheus.Counter
@@ -62,7 +62,7 @@
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, f))
 }
 
-// CounterFunc is like Func, but registers a counter; the value that f returns must never decrease.
+// CounterFunc is like GaugeFunc, but registers a counter; the value that f returns must never decrease.
 func (m *Meter) CounterFunc(name, help string, f func() float64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, f))
 }
