--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -23,20 +23,20 @@
 )
 
 const (
-	callers = "10.0.0.1:80"
-	ready   = "10.0.0.1:81"
-	key     = "key-of-mill"
-	// crashed is how long a stage is down after a crash.
-	crashed = 2 * time.Second
+	callersAddress = "10.0.0.1:80"
+	readyAddress   = "10.0.0.1:81"
+	apiKey         = "key-of-mill"
+	// restartDelay is how long a fake upstream is down after a crash.
+	restartDelay = 2 * time.Second
 )
 
-// bench is one host before a fleet of stand-ins, in virtual time.
-type bench struct {
+// testbed is one host in front of fake upstreams, on an in-memory network in virtual time.
+type testbed struct {
 	t      *testing.T
 	net    *faker.Network
 	source *faker.Directory
 	stages map[string]*faker.Stage
-	// crashes is how often a stage fell.
+	// crashes counts the crashes of all upstreams.
 	crashes atomic.Int64
 	cfg     matcher.Configuration
 	client  *http.Client
@@ -45,16 +45,17 @@
 	started time.Time
 }
 
-// run starts a host and lets it read its source.
-func run(t *testing.T, revoke time.Duration, f func(b *bench)) {
+// runHost starts a host with four upstreams and calls f once the host has read its configuration.
+// revocationBound is the time after which a revoked key must not be served; 0 means no bound.
+func runHost(t *testing.T, revocationBound time.Duration, f func(b *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestbed(t)
 		for _, id := range []string{"desk-a", "desk-b", "model-a", "model-b"} {
-			defer b.start(id)()
+			defer b.startUpstream(id)()
 		}
-		h := b.host(follower.Host{Name: "host-a", DataCentre: "here", Address: "10.0.0.1:82"})
-		h.Settings.RevokeMs = int(revoke.Milliseconds())
+		h := b.newHost(follower.Host{Name: "host-a", DataCentre: "here", Address: "10.0.0.1:82"})
+		h.Settings.RevokeMs = int(revocationBound.Milliseconds())
 		defer b.client.CloseIdleConnections()
 		ctx, cancel := context.WithCancel(context.Background())
 		b.stop = cancel
@@ -68,18 +69,18 @@
 	})
 }
 
-// newBench is a bench before any host or stage.
-func newBench(t *testing.T) *bench {
+// newTestbed returns a testbed that has a configuration but neither hosts nor upstreams.
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
-	b := &bench{t: t, net: faker.NewNetwork(), source: new(faker.Directory), stages: make(map[string]*faker.Stage), cfg: configuration(), done: make(chan error, 1), started: time.Now()}
+	b := &testbed{t: t, net: faker.NewNetwork(), source: new(faker.Directory), stages: make(map[string]*faker.Stage), cfg: configuration(), done: make(chan error, 1), started: time.Now()}
 	first := b.cfg
 	b.source.Configure(&first)
 	b.client = &http.Client{Transport: &http.Transport{DialContext: b.net.Dialer("caller")}}
 	return b
 }
 
-// host is one that listens on the ports 80 to 83 of its address.
-func (b *bench) host(f follower.Host) *launcher.Host {
+// newHost returns a host that listens on ports 80 to 83 of the IP in f.Address.
+func (b *testbed) newHost(f follower.Host) *launcher.Host {
 	ip, _, _ := strings.Cut(f.Address, ":")
 	return &launcher.Host{
 		Settings: &loader.Forward{
@@ -99,8 +100,8 @@
 	}
 }
 
-// configuration has a desk whose lookups may be repeated and whose bookings may
-// not, and a model whose streams may be resumed on one of two routes.
+// configuration returns a service desk, with idempotent lookups and non-idempotent bookings, and a
+// service model, whose streams can be resumed on one of its two routes.
 func configuration() matcher.Configuration {
 	route := func(prefix, service string, kind matcher.Kind) matcher.Route {
 		return matcher.Route{
@@ -121,15 +122,16 @@
 			resumable, route("/stream/once/", "model", matcher.KindStreaming), public, short,
 		},
 		Services:   []matcher.Service{{Name: "desk"}, {Name: "model"}},
-		Workspaces: []matcher.Workspace{{Name: "mill", Keys: []string{key}}},
+		Workspaces: []matcher.Workspace{{Name: "mill", Keys: []string{apiKey}}},
 	}
 }
 
-// start runs an upstream and lists it.
-func (b *bench) start(id string) (stop func()) { return b.startIn(id, "here") }
+// startUpstream starts an upstream in data centre "here" and registers it.
+func (b *testbed) startUpstream(id string) (stop func()) { return b.startUpstreamIn(id, "here") }
 
-// startIn is start in a data centre.
-func (b *bench) startIn(id, dataCentre string) (stop func()) {
+// startUpstreamIn starts an upstream in a data centre and registers it. Its service is the part of
+// its id before the dash.
+func (b *testbed) startUpstreamIn(id, dataCentre string) (stop func()) {
 	s := &faker.Stage{ID: id, Events: 10, Gap: 20 * time.Millisecond, Answer: 10 * time.Millisecond}
 	address := "10.1.0." + id + ":80"
 	var kill atomic.Value
@@ -142,7 +144,7 @@
 	s.Crash = func() {
 		b.crashes.Add(1)
 		kill.Load().(func())()
-		time.Sleep(crashed)
+		time.Sleep(restartDelay)
 		serve()
 	}
 	b.stages[id] = s
@@ -159,20 +161,20 @@
 	took   time.Duration
 }
 
-// request makes one; change may be nil.
-func (b *bench) request(method, path, id string, change func(*http.Request)) reply {
+// request sends a request with the given id to the host. change modifies it first and may be nil.
+func (b *testbed) request(method, path, id string, change func(*http.Request)) reply {
 	b.t.Helper()
-	return b.requestAt(callers, method, path, id, change)
+	return b.requestAt(callersAddress, method, path, id, change)
 }
 
-// requestAt is request to the host at an address.
-func (b *bench) requestAt(address, method, path, id string, change func(*http.Request)) reply {
+// requestAt is like request, but sends to the host at address.
+func (b *testbed) requestAt(address, method, path, id string, change func(*http.Request)) reply {
 	b.t.Helper()
 	start := time.Now()
 	r, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("lot 12"))
 	is.New(b.t).NoErr(err)
 	r.Host = "desk.example"
-	r.Header.Set("Authorization", "Bearer "+key)
+	r.Header.Set("Authorization", "Bearer "+apiKey)
 	r.Header.Set(forwarder.DefaultHeaders.RequestID, id)
 	r.Header.Set(forwarder.DefaultHeaders.DeadlineMs, "5000")
 	if change != nil {
@@ -187,9 +189,9 @@
 	return reply{resp.StatusCode, resp.Header, string(body), err, time.Since(start)}
 }
 
-// troubleAll sets what becomes of the next requests to each upstream of a
-// service.
-func (b *bench) troubleAll(service string, list ...faker.Trouble) {
+// injectFaults sets the faults that each upstream of a service applies to its next requests, one
+// for each request.
+func (b *testbed) injectFaults(service string, list ...faker.Trouble) {
 	for id, s := range b.stages {
 		if strings.HasPrefix(id, service) {
 			s.Trouble(list...)
@@ -197,8 +199,8 @@
 	}
 }
 
-// runs counts how often a request ran, over all upstreams.
-func (b *bench) runs(id string) int {
+// runs returns how often the request with an id was executed, over all upstreams.
+func (b *testbed) runs(id string) int {
 	n := 0
 	for _, s := range b.stages {
 		n += s.Runs(id)
@@ -206,8 +208,8 @@
 	return n
 }
 
-// seen returns the request with an id that ran.
-func (b *bench) seen(id string) faker.Seen {
+// executedRequest returns the request with an id as the upstream that executed it received it.
+func (b *testbed) executedRequest(id string) faker.Seen {
 	b.t.Helper()
 	for _, s := range b.stages {
 		for _, one := range s.Seen() {
@@ -216,12 +218,12 @@
 			}
 		}
 	}
-	b.t.Fatalf("request %s ran nowhere", id)
+	b.t.Fatalf("request %q was executed by no upstream", id)
 	return faker.Seen{}
 }
 
-// assertRefused checks for a refusal that tells when to come back.
-func (b *bench) assertRefused(r reply) {
+// assertRetryLater checks that r is a 503 with a Retry-After header.
+func (b *testbed) assertRetryLater(r reply) {
 	b.t.Helper()
 	is := is.New(b.t)
 	is.NoErr(r.err)
@@ -229,8 +231,8 @@
 	is.True(r.header.Get("Retry-After") != "")
 }
 
-// assertWhole checks for all events of a stream, each once and in order.
-func (b *bench) assertWhole(r reply) {
+// assertCompleteStream checks that r holds all events of a stream, each once and in order.
+func (b *testbed) assertCompleteStream(r reply) {
 	b.t.Helper()
 	is := is.New(b.t)
 	is.NoErr(r.err)
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -15,39 +15,39 @@
 	"github.com/sardineward/sardineward/launcher"
 )
 
-// fleet is several hosts in three data centres, under load.
+// fleet is a testbed with several hosts in three data centres, under load.
 type fleet struct {
-	*bench
+	*testbed
 	hosts []follower.Host
-	// kill ends a host at once, by name.
-	kill map[string]func()
-	// connect gives a host its source and its store.
+	// killHost maps the name of a running host to a function that kills it.
+	killHost map[string]func()
+	// connect sets a host's configuration source, and its store if that is not the default.
 	connect func(h *launcher.Host, f follower.Host)
 
 	mu sync.Mutex
-	// statuses count answers and refusals.
+	// statuses counts responses by HTTP status; 0 counts requests without a response.
 	statuses map[int]int
 	slowest  time.Duration
 }
 
-var centres = []string{"a", "b", "c"}
+var dataCentres = []string{"a", "b", "c"}
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	fl := &fleet{bench: newBench(t), kill: make(map[string]func()), statuses: make(map[int]int)}
-	fl.connect = func(h *launcher.Host, f follower.Host) { h.Source = others{fl.source, f.Name} }
+	fl := &fleet{testbed: newTestbed(t), killHost: make(map[string]func()), statuses: make(map[int]int)}
+	fl.connect = func(h *launcher.Host, f follower.Host) { h.Source = sourceWithoutSelf{fl.source, f.Name} }
 	return fl
 }
 
-// run runs hosts under requests of one path, some a second in all, while f does.
-func (fl *fleet) run(hosts int, path string, perSecond float64, f func()) {
+// runUnderLoad runs hosts that receive perSecond requests in all for one path while f runs.
+func (fl *fleet) runUnderLoad(hosts int, path string, perSecond float64, f func()) {
 	for n := range hosts {
-		h := follower.Host{Name: fmt.Sprintf("host-%03d", n), DataCentre: centres[n%len(centres)], Address: fmt.Sprintf("10.0.%d.%d:82", n/200, n%200+1)}
+		h := follower.Host{Name: fmt.Sprintf("host-%03d", n), DataCentre: dataCentres[n%len(dataCentres)], Address: fmt.Sprintf("10.0.%d.%d:82", n/200, n%200+1)}
 		fl.source.Host(h)
 		fl.hosts = append(fl.hosts, h)
 	}
 	for _, h := range fl.hosts {
-		fl.start(h)
+		fl.startHost(h)
 	}
 	time.Sleep(3 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -57,44 +57,44 @@
 	cancel()
 	callers.Wait()
 	fl.client.CloseIdleConnections()
-	for _, kill := range fl.kill {
+	for _, kill := range fl.killHost {
 		kill()
 	}
 	time.Sleep(10 * time.Second)
 }
 
-// start runs a host until it is killed.
-func (fl *fleet) start(f follower.Host) {
-	h := fl.host(f)
+// startHost starts a host, which runs until it is killed.
+func (fl *fleet) startHost(f follower.Host) {
+	h := fl.newHost(f)
 	fl.connect(h, f)
 	ctx, cancel := context.WithCancel(context.Background())
 	h.Settings.BalancerMs, h.Settings.StopMs = 10, 20
 	fl.net.Place(f.Address, f.Name)
 	done := make(chan error, 1)
 	go func() { done <- h.Run(ctx) }()
-	fl.kill[f.Name] = func() {
-		delete(fl.kill, f.Name)
+	fl.killHost[f.Name] = func() {
+		delete(fl.killHost, f.Name)
 		cancel()
 		fl.net.Break(f.Name)
 		<-done
 	}
 }
 
-// others is a source without the entry of the host that reads it.
-type others struct {
+// sourceWithoutSelf leaves out the entry of the host that reads the source.
+type sourceWithoutSelf struct {
 	*faker.Directory
 	self string
 }
 
-func (o others) Load(ctx context.Context, turn follower.LoadDelay) (*follower.Changes, error) {
+func (o sourceWithoutSelf) Load(ctx context.Context, turn follower.LoadDelay) (*follower.Changes, error) {
 	return o.without(o.Directory.Load(ctx, turn))
 }
 
-func (o others) Changes(ctx context.Context, after follower.Position, wait time.Duration) (*follower.Changes, error) {
+func (o sourceWithoutSelf) Changes(ctx context.Context, after follower.Position, wait time.Duration) (*follower.Changes, error) {
 	return o.without(o.Directory.Changes(ctx, after, wait))
 }
 
-func (o others) without(ch *follower.Changes, err error) (*follower.Changes, error) {
+func (o sourceWithoutSelf) without(ch *follower.Changes, err error) (*follower.Changes, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	return &out, nil
 }
 
-// load makes requests to hosts drawn by a seed, at random moments, until ctx ends.
+// load sends requests to random hosts, as a Poisson process with a fixed seed, until ctx ends.
 func (fl *fleet) load(ctx context.Context, path string, perSecond float64) {
 	rnd := rand.New(rand.NewPCG(31, 1))
 	var wg sync.WaitGroup
@@ -127,15 +127,15 @@
 	}
 }
 
-// count is how many requests were answered with a status.
+// count returns the number of responses with a status.
 func (fl *fleet) count(status int) int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.statuses[status]
 }
 
-// all is how many requests were answered.
-func (fl *fleet) all() int {
+// totalRequests returns the number of requests that ended, with or without a response.
+func (fl *fleet) totalRequests() int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	n := 0
@@ -145,7 +145,7 @@
 	return n
 }
 
-// served counts the requests that a stage ran since a time.
+// served returns the number of requests that an upstream executed after a time.
 func (fl *fleet) served(id string, since time.Time) int {
 	n := 0
 	for _, one := range fl.stages[id].Seen() {
@@ -156,19 +156,19 @@
 	return n
 }
 
-// crash ends a host at once, its entry lapses as its lease does.
-func (fl *fleet) crash(name string) {
-	fl.kill[name]()
+// crashHost kills a host and removes its entry after 3 s, as the expiry of its lease would.
+func (fl *fleet) crashHost(name string) {
+	fl.killHost[name]()
 	time.Sleep(3 * time.Second)
 	fl.source.DropHost(name)
 }
 
-// again starts a host that has crashed.
-func (fl *fleet) again(name string) {
+// restartHost starts a host again after crashHost.
+func (fl *fleet) restartHost(name string) {
 	for _, h := range fl.hosts {
 		if h.Name == name {
 			fl.source.Host(h)
-			fl.start(h)
+			fl.startHost(h)
 		}
 	}
 }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package launcher wires an entry host that forwards by a route table, and runs
-// it from start to graceful stop. What it follows and which names it speaks
-// come in as fields, so that the platform and the stand-ins are served alike.
+// Package launcher wires an entry host that forwards requests by a route table, and runs it from
+// start to graceful stop. The configuration source, the store and the header names are fields of
+// Host, so that the same code runs against the platform and against the fakes of tests.
 package launcher
 
 import (
@@ -40,97 +40,100 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are above what configurations ask for, as
-	// connections are taken before there is one.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	headerBytes   = 64 << 10
-	// keyMargin is taken off the time after which a key must be gone: a request
-	// has to reach its upstream before it is over.
-	keyMargin = 700 * time.Millisecond
-	// sweepPeriod is the time between two looks for stale connections.
-	sweepPeriod = time.Second
-	// memoryShare is the part of the process's memory at which collection gets
-	// eager.
-	memoryShare = 0.7
+	// readHeaderTimeout and idleTimeout exceed what configurations set, since connections are
+	// accepted before a configuration is in force.
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	// revocationMargin is subtracted from Settings.RevokeMs, the time after which a revoked key
+	// must not be served: a request has to reach its upstream before that time is over.
+	revocationMargin = 700 * time.Millisecond
+	// sweepInterval is the time between two sweeps of unusable connections and expired crash
+	// suspects.
+	sweepInterval = time.Second
+	// memoryLimitRatio is the fraction of Settings.MemoryMB that is set as the soft memory limit
+	// of the Go runtime, near which it collects garbage more often.
+	memoryLimitRatio = 0.7
 )
 
-// Engines gives orders to upstreams.
+// Engines sends orders to upstreams and reads their reports.
 type Engines interface {
 	orderer.Engines
 	forwarder.Engines
 	pacer.Engines
 }
 
-// Host is one entry host. The fields are set before Run.
+// Host is one entry host. Exported fields are set before Run and not changed after.
 type Host struct {
 	Settings *loader.Forward
 	Store    storer.Store
 	Source   follower.Source
 	Engines  Engines
 	Headers  forwarder.Headers
-	// ReadyPath is what the balancer asks.
+	// ReadyPath is the path of the readiness check, which the external load balancer polls.
 	ReadyPath string
-	// Now is a clock that goes on while the machine is suspended.
+	// Now is a clock that also advances while the machine is suspended.
 	Now func() time.Duration
-	// Listen and Dial reach the network; nil means the machine's own.
+	// Listen and Dial open listeners and connections; nil means the operating system's network.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	// Seed makes choices repeatable; 0 draws one.
+	// Seed makes random choices repeatable; 0 draws a random seed.
 	Seed uint64
-	// Dropped is how many log lines were not written; nil where none are.
+	// Dropped returns the number of log lines that were not written; nil if none are ever dropped.
 	Dropped func() float64
 	Log     zerolog.Logger
 
-	balancer *balancer.Balancer
-	follow   *follower.Follower
-	forward  *forwarder.Forwarder
-	register *registrar.Registrar
-	orders   *orderer.Orderer
-	share    *sharer.Sharer
-	paces    *pacer.Pacer
-	pool     *connector.Pool
-	meter    *meter.Meter
+	balancer  *balancer.Balancer
+	follower  *follower.Follower
+	forwarder *forwarder.Forwarder
+	registrar *registrar.Registrar
+	orderer   *orderer.Orderer
+	sharer    *sharer.Sharer
+	pacer     *pacer.Pacer
+	pool      *connector.Pool
+	meter     *meter.Meter
 
-	opened atomic.Int64
-	// hostless is since when data centres have no host, by name.
-	hostless sync.Map
-	mu       sync.Mutex
-	servers  []*http.Server
+	connectionsOpened atomic.Int64
+	// unhostedSince maps the name of a data centre to the time of Now, a time.Duration, since
+	// which it is known to have no host.
+	unhostedSince sync.Map
+	mu            sync.Mutex
+	servers       []*http.Server
 
-	budgets   named[admitter.WindowRetryBudget]
-	latencies named[admitter.StreamLimiter]
+	retryBudgets lazyMap[admitter.WindowRetryBudget]
+	latencies    lazyMap[admitter.StreamLimiter]
 }
 
-// Run answers until ctx ends, then stops gracefully.
+// Run serves requests until ctx ends, then stops gracefully. It returns an error if an address
+// can't be opened, or if requests are still in flight when the stop times out.
 func (h *Host) Run(ctx context.Context) error {
 	h.build()
-	work, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelWork()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	callers, err := h.listen()
 	if err != nil {
 		return err
 	}
-	duty, endDuty := context.WithCancel(ctx)
-	defer endDuty()
-	wg.Go(func() { h.follow.Run(work) })
-	wg.Go(func() { h.forward.Watch(work) })
-	wg.Go(func() { h.register.Run(duty) })
-	wg.Go(func() { h.orders.Run(duty) })
-	wg.Go(func() { h.share.Run(work) })
-	wg.Go(func() { h.paces.Run(work) })
-	wg.Go(func() { h.sweep(work) })
+	dutyCtx, cancelDuty := context.WithCancel(ctx)
+	defer cancelDuty()
+	wg.Go(func() { h.follower.Run(workCtx) })
+	wg.Go(func() { h.forwarder.Watch(workCtx) })
+	wg.Go(func() { h.registrar.Run(dutyCtx) })
+	wg.Go(func() { h.orderer.Run(dutyCtx) })
+	wg.Go(func() { h.sharer.Run(workCtx) })
+	wg.Go(func() { h.pacer.Run(workCtx) })
+	wg.Go(func() { h.runSweeps(workCtx) })
 	h.Log.Info().Str("host", h.Settings.Host).Str("dataCentre", h.Settings.DataCentre).Msg("launcher: started")
 	<-ctx.Done()
 	err = h.stop(callers)
-	end()
+	cancelWork()
 	h.close()
 	return err
 }
 
-// close ends what nobody needs after the stop.
+// close closes the servers and the pooled connections after a stop.
 func (h *Host) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,36 +141,38 @@
 		s.Close()
 	}
 	h.pool.Close()
-	h.share.HTTP.CloseIdleConnections()
+	h.sharer.HTTP.CloseIdleConnections()
 }
 
-// stop lets the balancer see that this host is leaving, and every open request
-// end, before the listener goes.
+// stop fails the readiness check and keeps serving for Settings.BalancerMs, so that the external
+// load balancer notices. It then closes the listener for callers and waits for the requests in
+// flight. Settings.StopMs bounds both steps together.
 func (h *Host) stop(callers *http.Server) error {
-	h.Log.Info().Int64("inFlight", h.forward.InFlight()).Msg("launcher: stopping")
-	h.forward.Stop()
-	limit, cancel := context.WithTimeout(context.Background(), millis(h.Settings.StopMs))
+	h.Log.Info().Int64("inFlight", h.forwarder.InFlight()).Msg("launcher: stopping")
+	h.forwarder.Stop()
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), millis(h.Settings.StopMs))
 	defer cancel()
 	select {
 	case <-time.After(millis(h.Settings.BalancerMs)):
-	case <-limit.Done():
+	case <-shutdownCtx.Done():
 	}
-	err := callers.Shutdown(limit)
-	left := h.forward.InFlight()
-	h.Log.Info().Int64("cut", left).Msg("launcher: stopped")
-	if err != nil && left > 0 {
-		return fmt.Errorf("stop cut off %d requests", left)
+	err := callers.Shutdown(shutdownCtx)
+	inFlight := h.forwarder.InFlight()
+	h.Log.Info().Int64("cut", inFlight).Msg("launcher: stopped")
+	if err != nil && inFlight > 0 {
+		return fmt.Errorf("stop timed out with %d requests in flight", inFlight)
 	}
 	return nil
 }
 
+// build creates the parts of the host from its settings and connects them to each other.
 func (h *Host) build() {
 	cfg := h.Settings
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryShare * 1e6))
+		debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitRatio * 1e6))
 	}
-	h.defaults()
-	h.budgets.New = h.newBudget
+	h.setDefaults()
+	h.retryBudgets.New = h.newRetryBudget
 	h.meter = meter.New(meter.LabelValues(admitter.ReasonValues()), meter.LabelValues(streamer.CauseValues()))
 	h.balancer = &balancer.Balancer{
 		Host:       cfg.Host,
@@ -175,62 +180,62 @@
 		Policy:     picker.Cheapest{Steepness: 2, Jitter: 0.1},
 		Rand:       rand.New(rand.NewPCG(h.Seed, 1)),
 	}
-	h.follow = &follower.Follower{Host: cfg.Host, Source: h.Source, Balancer: h.balancer, Now: h.Now, OnChange: h.tellHosts, Log: h.Log}
-	h.pool = &connector.Pool{Dial: h.Dial, Now: h.Now, RequestIDHeader: h.Headers.RequestID, OnDial: func() { h.opened.Add(1) }}
+	h.follower = &follower.Follower{Host: cfg.Host, Source: h.Source, Balancer: h.balancer, Now: h.Now, OnChange: h.updateHosts, Log: h.Log}
+	h.pool = &connector.Pool{Dial: h.Dial, Now: h.Now, RequestIDHeader: h.Headers.RequestID, OnDial: func() { h.connectionsOpened.Add(1) }}
 	suspects := new(tracker.Suspects)
-	h.forward = &forwarder.Forwarder{
-		Tables:        h.follow,
+	h.forwarder = &forwarder.Forwarder{
+		Tables:        h.follower,
 		Balancer:      h.balancer,
 		Pool:          h.pool,
 		Engines:       h.Engines,
 		Headers:       h.Headers,
-		RetryBudget:   h.budgets.Get,
+		RetryBudget:   h.retryBudgets.Get,
 		StreamLimiter: h.latencies.Get,
 		Suspects:      suspects,
 		Now:           h.Now,
 		Meter:         h.meter,
 		Log:           h.Log,
 	}
-	suspects.WentDown = h.forward.WentDown
+	suspects.WentDown = h.forwarder.WentDown
 	if cfg.RevokeMs > 0 {
-		h.forward.MaxKeyAge = millis(cfg.RevokeMs) - keyMargin
+		h.forwarder.MaxKeyAge = millis(cfg.RevokeMs) - revocationMargin
 	}
-	h.register = &registrar.Registrar{
+	h.registrar = &registrar.Registrar{
 		Store:      h.Store,
 		Entry:      registrar.Entry{Name: cfg.Host, Address: cfg.Peer, DataCentre: cfg.DataCentre},
 		Now:        h.Now,
-		FreeDuties: h.freeDuties,
+		FreeDuties: h.claimableDuties,
 		Log:        h.Log,
 	}
 	if s, ok := h.Store.(storer.Restorable); ok {
-		h.register.Era = s.Era
+		h.registrar.Era = s.Era
 	}
-	h.share = &sharer.Sharer{
+	h.sharer = &sharer.Sharer{
 		Self:       cfg.Host,
 		DataCentre: cfg.DataCentre,
-		Follower:   h.follow,
+		Follower:   h.follower,
 		Balancer:   h.balancer,
 		Suspects:   suspects,
 		Now:        h.Now,
 		HTTP:       &http.Client{Transport: &http.Transport{DialContext: h.Dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}},
 		Log:        h.Log,
 	}
-	h.follow.ReadsSource, h.follow.ReaderCount = h.share.ReadsSource, h.share.ReaderCount
-	h.forward.LimitsKnown = h.share.KnowsLimits
-	h.paces = &pacer.Pacer{Balancer: h.balancer, Engines: h.Engines, Now: h.Now, Log: h.Log}
+	h.follower.ReadsSource, h.follower.ReaderCount = h.sharer.ReadsSource, h.sharer.ReaderCount
+	h.forwarder.LimitsKnown = h.sharer.KnowsLimits
+	h.pacer = &pacer.Pacer{Balancer: h.balancer, Engines: h.Engines, Now: h.Now, Log: h.Log}
 	h.exportMetrics()
-	h.orders = &orderer.Orderer{
+	h.orderer = &orderer.Orderer{
 		Balancer: h.balancer,
 		Engines:  h.Engines,
 		Services: h.services,
-		Holds:    h.register.Holding,
-		HoldsAny: h.register.HoldingAny,
+		Holds:    h.registrar.Holding,
+		HoldsAny: h.registrar.HoldingAny,
 		Now:      h.Now,
 		Log:      h.Log,
 	}
 }
 
-func (h *Host) defaults() {
+func (h *Host) setDefaults() {
 	if h.Listen == nil {
 		h.Listen = func(address string) (net.Listener, error) {
 			return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
@@ -244,26 +249,26 @@
 	}
 }
 
-// exportMetrics registers what is read when it is asked for.
+// exportMetrics registers the metrics whose values are computed on each scrape.
 func (h *Host) exportMetrics() {
 	m := h.meter
-	m.GaugeFunc("knowledge_age_seconds", "Age of configuration, keys and list, also by what peers answered.", func() float64 { return h.follow.Age().Seconds() })
-	m.GaugeFunc("source_age_seconds", "Age of what this host read from the store itself.", func() float64 { return h.follow.OwnAge().Seconds() })
-	m.GaugeFunc("read_age_seconds", "Age of what this host read from the store or was told by a relay.", func() float64 { return h.follow.ReadAge().Seconds() })
-	m.GaugeFunc("reader", "1 while this host reads the store for its data centre.", func() float64 { return gauge(h.share.ReadsSource()) })
-	m.GaugeFunc("relay", "1 while the hosts of this data centre report to this one.", func() float64 { return gauge(h.share.IsRelay()) })
-	m.GaugeFunc("source_revision", "Revision of the store up to which this host knows upstreams and hosts.", func() float64 { return float64(h.follow.Position().Revision) })
-	m.GaugeFunc("source_era", "How often the store came back from a copy, as this host knows; 0 where it does not say.", func() float64 { return float64(h.follow.Position().Era) })
+	m.GaugeFunc("knowledge_age_seconds", "Age of configuration, keys and list, also by what peers answered.", func() float64 { return h.follower.Age().Seconds() })
+	m.GaugeFunc("source_age_seconds", "Age of what this host read from the store itself.", func() float64 { return h.follower.OwnAge().Seconds() })
+	m.GaugeFunc("read_age_seconds", "Age of what this host read from the store or was told by a relay.", func() float64 { return h.follower.ReadAge().Seconds() })
+	m.GaugeFunc("reader", "1 while this host reads the store for its data centre.", func() float64 { return boolGauge(h.sharer.ReadsSource()) })
+	m.GaugeFunc("relay", "1 while the hosts of this data centre report to this one.", func() float64 { return boolGauge(h.sharer.IsRelay()) })
+	m.GaugeFunc("source_revision", "Revision of the store up to which this host knows upstreams and hosts.", func() float64 { return float64(h.follower.Position().Revision) })
+	m.GaugeFunc("source_era", "How often the store came back from a copy, as this host knows; 0 where it does not say.", func() float64 { return float64(h.follower.Position().Era) })
 	m.GaugeFunc("configuration_version", "Version of the configuration in force; 0 is none.", func() float64 {
-		if t := h.follow.Table(); t != nil {
+		if t := h.follower.Table(); t != nil {
 			return float64(t.Version)
 		}
 		return 0
 	})
-	m.GaugeFunc("hosts", "Other entry hosts that are listed.", func() float64 { return float64(len(h.follow.Hosts())) })
-	m.GaugeFunc("requests_in_flight", "Requests being answered.", func() float64 { return float64(h.forward.InFlight()) })
-	m.GaugeFunc("ready", "1 while this host takes requests.", func() float64 { return gauge(h.forward.Ready()) })
-	m.GaugeFunc("duty_held", "1 while this host gives orders to engines.", func() float64 { return gauge(h.register.HoldingAny()) })
+	m.GaugeFunc("hosts", "Other entry hosts that are listed.", func() float64 { return float64(len(h.follower.Hosts())) })
+	m.GaugeFunc("requests_in_flight", "Requests being answered.", func() float64 { return float64(h.forwarder.InFlight()) })
+	m.GaugeFunc("ready", "1 while this host takes requests.", func() float64 { return boolGauge(h.forwarder.Ready()) })
+	m.GaugeFunc("duty_held", "1 while this host gives orders to engines.", func() float64 { return boolGauge(h.registrar.HoldingAny()) })
 	for _, state := range balancer.StateValues() {
 		m.GaugeFunc("upstreams_"+state.String(), "Upstreams in this state.", func() float64 { return float64(h.balancer.Count(h.Now(), state)) })
 	}
@@ -274,58 +279,59 @@
 	if h.Dropped != nil {
 		m.CounterFunc("log_lines_dropped_total", "Log lines that were too many, or whose reader was too slow.", h.Dropped)
 	}
-	m.CounterFunc("connections_opened_total", "Connections made to upstreams.", func() float64 { return float64(h.opened.Load()) })
+	m.CounterFunc("connections_opened_total", "Connections made to upstreams.", func() float64 { return float64(h.connectionsOpened.Load()) })
 }
 
-func gauge(ok bool) float64 {
+// boolGauge returns 1 for true and 0 for false.
+func boolGauge(ok bool) float64 {
 	if ok {
 		return 1
 	}
 	return 0
 }
 
-// tellHosts hands the other hosts on to the balancer.
-func (h *Host) tellHosts() {
+// updateHosts passes the data centres of the other hosts to the balancer.
+func (h *Host) updateHosts() {
 	hosts := make(map[string]string)
-	for _, other := range h.follow.Hosts() {
+	for _, other := range h.follower.Hosts() {
 		hosts[other.Name] = other.DataCentre
 	}
 	h.balancer.SetHosts(hosts)
 }
 
-// takeover is how long a data centre must have had no host before the host of
-// another one gives orders there: longer than a restart, and than the store
-// turns a host away for a moment.
-const takeover = 1500 * time.Millisecond
+// takeoverDelay is how long a data centre must have had no host before a host of another data
+// centre takes its duty. It is longer than a restart, and than a brief spell in which the store
+// rejects a host.
+const takeoverDelay = 1500 * time.Millisecond
 
-// freeDuties are the data centres whose duty this host is to take: its own, and
-// those that have upstreams and no host left. Hosts of a data centre see its
-// upstreams fail first.
-func (h *Host) freeDuties() []string {
+// claimableDuties returns the data centres whose duty this host should take: its own, and, on the
+// host with the lowest name, those that have upstreams and no host. Hosts prefer their own data
+// centre, since they detect failures of its upstreams first.
+func (h *Host) claimableDuties() []string {
 	own := h.Settings.DataCentre
 	hosted := map[string]bool{own: true}
-	first := true
-	for _, other := range h.follow.Hosts() {
+	lowestName := true
+	for _, other := range h.follower.Hosts() {
 		hosted[other.DataCentre] = true
-		first = first && h.Settings.Host < other.Name
+		lowestName = lowestName && h.Settings.Host < other.Name
 	}
 	var out []string
 	for _, dc := range append(h.balancer.DataCentres(), own) {
-		holder, known := h.follow.Holder(dc)
+		holder, known := h.follower.Holder(dc)
 		if hosted[dc] {
-			h.hostless.Delete(dc)
+			h.unhostedSince.Delete(dc)
 		}
-		// Named as its holder without holding it, this host was started again.
-		last := holder == h.Settings.Host && !h.register.Holding(dc)
-		if !known || (holder != "" && !last) || slices.Contains(out, dc) {
+		// The store names this host as the holder but it holds no lease: it was restarted.
+		restarted := holder == h.Settings.Host && !h.registrar.Holding(dc)
+		if !known || (holder != "" && !restarted) || slices.Contains(out, dc) {
 			continue
 		}
-		if last {
+		if restarted {
 			out = append(out, dc)
 			continue
 		}
-		since, _ := h.hostless.LoadOrStore(dc, h.Now())
-		if dc == own || (first && !hosted[dc] && h.Now()-since.(time.Duration) > takeover) {
+		since, _ := h.unhostedSince.LoadOrStore(dc, h.Now())
+		if dc == own || (lowestName && !hosted[dc] && h.Now()-since.(time.Duration) > takeoverDelay) {
 			out = append(out, dc)
 		}
 	}
@@ -333,24 +339,25 @@
 }
 
 func (h *Host) services() map[string]*matcher.Service {
-	if t := h.follow.Table(); t != nil {
+	if t := h.follower.Table(); t != nil {
 		return t.Services
 	}
 	return nil
 }
 
-// newBudget makes the retry budget of a service.
-func (h *Host) newBudget() *admitter.WindowRetryBudget {
+// newRetryBudget returns a retry budget for one service, with the limits of the settings.
+func (h *Host) newRetryBudget() *admitter.WindowRetryBudget {
 	return &admitter.WindowRetryBudget{
 		Ratio:  h.Settings.RetryRatio,
 		Length: time.Duration(h.Settings.RetryWindowS) * time.Second,
 		Fixed:  h.Settings.RetryFixed,
-		Hosts:  func() int { return len(h.follow.Hosts()) + 1 },
+		Hosts:  func() int { return len(h.follower.Hosts()) + 1 },
 	}
 }
 
-func (h *Host) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepPeriod)
+// runSweeps closes unusable connections and removes expired crash suspects until ctx ends.
+func (h *Host) runSweeps(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -358,48 +365,48 @@
 			return
 		case <-tick.C:
 			h.pool.CloseExpired()
-			h.forward.Suspects.Sweep(time.Now())
+			h.forwarder.Suspects.Sweep(time.Now())
 		}
 	}
 }
 
-// listen opens all addresses and returns the server of the callers.
+// listen starts a server on each of the host's addresses and returns the one for callers.
 func (h *Host) listen() (*http.Server, error) {
 	cfg := h.Settings
-	callers := server(h.forward)
-	for _, one := range []struct {
+	callers := newServer(h.forwarder)
+	for _, endpoint := range []struct {
 		address string
 		server  *http.Server
 	}{
-		{cfg.Ready, server(h.readyHandler())},
-		{cfg.Admin, server(h.adminHandler())},
-		{cfg.Peer, server(peer.NewShareServer(h.share))},
+		{cfg.Ready, newServer(h.readyHandler())},
+		{cfg.Admin, newServer(h.adminHandler())},
+		{cfg.Peer, newServer(peer.NewShareServer(h.sharer))},
 		{cfg.Callers, callers},
 	} {
-		l, err := h.Listen(one.address)
+		listener, err := h.Listen(endpoint.address)
 		if err != nil {
-			return nil, fmt.Errorf("listening on %s: %w", one.address, err)
+			return nil, fmt.Errorf("listening on %s: %w", endpoint.address, err)
 		}
 		h.mu.Lock()
-		h.servers = append(h.servers, one.server)
+		h.servers = append(h.servers, endpoint.server)
 		h.mu.Unlock()
 		go func() {
-			if err := one.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-				h.Log.Error().Err(err).Str("address", one.address).Msg("launcher: listener ended")
+			if err := endpoint.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+				h.Log.Error().Err(err).Str("address", endpoint.address).Msg("launcher: server failed")
 			}
 		}()
 	}
 	return callers, nil
 }
 
-func server(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes}
+func newServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
 func (h *Host) readyHandler() http.Handler {
 	e := echo.New()
 	e.GET(h.ReadyPath, func(c echo.Context) error {
-		if h.forward.Ready() {
+		if h.forwarder.Ready() {
 			return c.NoContent(http.StatusOK)
 		}
 		return c.NoContent(http.StatusServiceUnavailable)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -18,6 +18,7 @@
 	"github.com/sardineward/sardineward/forwarder"
 )
 
+// events returns the event stream with the events numbered from to to.
 func events(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
@@ -27,7 +28,7 @@
 }
 
 func TestForward(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		r := b.request(http.MethodPost, "/book/lots/7?grade=2", "r1", func(r *http.Request) {
 			r.Header.Set(forwarder.DefaultHeaders.Workspace, "someone-else")
@@ -39,18 +40,18 @@
 		is.True(strings.HasPrefix(r.body, "answer of desk-"))
 		is.True(r.header.Get(forwarder.DefaultHeaders.Stamp) != "")
 		is.Equal(r.header.Get(forwarder.DefaultHeaders.Load), "")
-		got := b.seen("r1")
-		is.Equal(got.Target, "/book/lots/7?grade=2") // path and query unchanged
-		is.Equal(got.Body, "lot 12")                 // body unchanged
-		is.Equal(got.Workspace, "mill")              // from the key, not from the caller
-		is.Equal(got.Path, "")                       // callers choose no path
-		is.Equal(got.Key, "")                        // the key stays here
+		got := b.executedRequest("r1")
+		is.Equal(got.Target, "/book/lots/7?grade=2") // path and query are unchanged
+		is.Equal(got.Body, "lot 12")                 // the body is unchanged
+		is.Equal(got.Workspace, "mill")              // derived from the key, not sent by the caller
+		is.Equal(got.Path, "")                       // callers can't choose the path
+		is.Equal(got.Key, "")                        // the key is not forwarded
 		is.True(got.DeadlineMs > 4900 && got.DeadlineMs <= 5000)
 	})
 }
 
 func TestRefusals(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		t.Run("no route", func(t *testing.T) {
 			is.New(t).Equal(b.request(http.MethodGet, "/nowhere/", "a", nil).status, http.StatusNotFound)
 		})
@@ -66,25 +67,25 @@
 	})
 }
 
-// TestBookingOnce guards against a booking that runs twice.
-func TestBookingOnce(t *testing.T) {
-	run(t, 0, func(b *bench) {
+// TestBookingAtMostOnce guards against a booking that is executed twice.
+func TestBookingAtMostOnce(t *testing.T) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.troubleAll("desk", faker.TroubleReset)
+		b.injectFaults("desk", faker.TroubleReset)
 		r := b.request(http.MethodPost, "/book/1", "lost", nil)
-		is.Equal(r.status, http.StatusBadGateway) // it may have run
+		is.Equal(r.status, http.StatusBadGateway) // it may have been executed
 		is.Equal(b.runs("lost"), 1)
-		b.troubleAll("desk", faker.TroubleFailed)
+		b.injectFaults("desk", faker.TroubleFailed)
 		r = b.request(http.MethodPost, "/book/2", "failed", nil)
-		is.Equal(r.status, http.StatusInternalServerError) // the upstream's own answer
+		is.Equal(r.status, http.StatusInternalServerError) // the upstream's response is passed on
 		is.Equal(b.runs("failed"), 1)
 	})
 }
 
-// TestTurnedAway guards against a booking refused though another upstream has room, or
-// run twice.
-func TestTurnedAway(t *testing.T) {
-	run(t, 0, func(b *bench) {
+// TestRejectedBookingRetried guards against a booking that is refused although another upstream
+// has capacity, or that is executed twice.
+func TestRejectedBookingRetried(t *testing.T) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		b.stages["desk-a"].Trouble(faker.TroubleFull, faker.TroubleFull, faker.TroubleFull)
 		for n := range 6 {
@@ -92,30 +93,30 @@
 			is.Equal(b.request(http.MethodPost, "/book/1", id, nil).status, http.StatusOK)
 			is.Equal(b.runs(id), 1)
 		}
-		b.troubleAll("desk", faker.TroubleFull, faker.TroubleFull, faker.TroubleFull, faker.TroubleFull)
+		b.injectFaults("desk", faker.TroubleFull, faker.TroubleFull, faker.TroubleFull, faker.TroubleFull)
 		r := b.request(http.MethodPost, "/book/1", "full", nil)
-		b.assertRefused(r)
-		is.Equal(b.runs("full"), 0) // the refusal says that it did not run
+		b.assertRetryLater(r)
+		is.Equal(b.runs("full"), 0) // the refusal says that it was not executed
 	})
 }
 
-// TestStreamsInVain guards against streams that are all let in, and given up by their
-// callers before the first event, since none of them counts as late.
-func TestStreamsInVain(t *testing.T) {
-	run(t, 0, func(b *bench) {
+// TestAbandonedStreamsShedLoad guards against load shedding that ignores streams whose callers give
+// up before the first event: none of them is measured as late, so that all are admitted.
+func TestAbandonedStreamsShedLoad(t *testing.T) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		const perSecond, seconds, patience = 40, 10, 2 * time.Second
-		silent := make([]faker.Trouble, perSecond*seconds)
-		for i := range silent {
-			silent[i] = faker.TroubleSilent
+		faults := make([]faker.Trouble, perSecond*seconds)
+		for i := range faults {
+			faults[i] = faker.TroubleSilent
 		}
-		b.troubleAll("model", silent...)
+		b.injectFaults("model", faults...)
 		var refused atomic.Int64
 		var wg sync.WaitGroup
 		for n := range perSecond * seconds {
 			wg.Go(func() {
-				ctx, leave := context.WithTimeout(context.Background(), patience)
-				defer leave()
+				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				defer cancel()
 				r := b.request(http.MethodPost, "/stream/1", fmt.Sprint("r", n), func(r *http.Request) { *r = *r.WithContext(ctx) })
 				if r.err == nil && r.status == http.StatusServiceUnavailable && r.took < 50*time.Millisecond && n >= perSecond*seconds/2 {
 					refused.Add(1)
@@ -124,59 +125,60 @@
 			time.Sleep(time.Second / perSecond)
 		}
 		wg.Wait()
-		is.True(refused.Load() > perSecond*seconds/4) // half of those that came in the second half
+		is.True(refused.Load() > perSecond*seconds/4) // half of the requests in the second half
 	})
 }
 
 func TestLookupRetried(t *testing.T) {
-	for name, trouble := range map[string]faker.Trouble{
+	for name, fault := range map[string]faker.Trouble{
 		"reset": faker.TroubleReset, "status 500": faker.TroubleFailed, "no signature": faker.TroubleUnsigned,
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, 0, func(b *bench) {
+			runHost(t, 0, func(b *testbed) {
 				is := is.New(t)
-				b.stages["desk-a"].Trouble(trouble, trouble, trouble, trouble)
+				b.stages["desk-a"].Trouble(fault, fault, fault, fault)
 				for n := range 4 {
 					id := fmt.Sprint("r", n)
 					is.Equal(b.request(http.MethodGet, "/look/1", id, nil).status, http.StatusOK)
-					is.True(b.runs(id) <= 2) // as many upstreams as the route allows
+					is.True(b.runs(id) <= 2) // the route's limit of attempts
 				}
 			})
 		})
 	}
 }
 
-// TestForeignAnswer guards against an answer that belongs to another request.
-func TestForeignAnswer(t *testing.T) {
-	run(t, 0, func(b *bench) {
-		b.troubleAll("desk", faker.TroubleForeign)
+// TestResponseOfOtherRequest guards against a response on a reused connection that belongs to
+// another request.
+func TestResponseOfOtherRequest(t *testing.T) {
+	runHost(t, 0, func(b *testbed) {
+		b.injectFaults("desk", faker.TroubleForeign)
 		r := b.request(http.MethodPost, "/book/1", "mine", nil)
 		is.New(t).Equal(r.body, "answer to mine")
 	})
 }
 
-// TestStreamResumed guards against events that are missing, twice or torn after a
-// crash.
+// TestStreamResumed guards against events that are missing, repeated or incomplete after an
+// upstream breaks the stream.
 func TestStreamResumed(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.troubleAll("model", faker.TroubleCut)
-		b.assertWhole(b.request(http.MethodPost, "/stream/1", "r1", nil))
+		b.injectFaults("model", faker.TroubleCut)
+		b.assertCompleteStream(b.request(http.MethodPost, "/stream/1", "r1", nil))
 		is.True(b.runs("r1") >= 2)
 	})
 }
 
-// TestStreamRunsBounded guards against a stream that runs on more upstreams than its
-// route allows.
+// TestStreamRunsBounded guards against a stream that is run on more upstreams than its route
+// allows attempts.
 func TestStreamRunsBounded(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		for _, id := range []string{"model-c", "model-d", "model-e", "model-f"} {
-			defer b.start(id)()
+			defer b.startUpstream(id)()
 		}
 		time.Sleep(time.Second)
-		b.troubleAll("model", faker.TroubleCut)
-		b.assertWhole(b.request(http.MethodPost, "/stream/1", "r1", nil))
+		b.injectFaults("model", faker.TroubleCut)
+		b.assertCompleteStream(b.request(http.MethodPost, "/stream/1", "r1", nil))
 		upstreams := 0
 		for _, s := range b.stages {
 			if s.Runs("r1") > 0 {
@@ -187,31 +189,31 @@
 	})
 }
 
-// TestStreamNotResumable guards against a broken stream that can be taken for the
-// whole.
+// TestStreamNotResumable guards against a broken stream that the caller can't tell from a complete
+// one.
 func TestStreamNotResumable(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.troubleAll("model", faker.TroubleCut)
+		b.injectFaults("model", faker.TroubleCut)
 		r := b.request(http.MethodPost, "/stream/once/1", "r1", nil)
 		is.True(r.err != nil)
-		is.Equal(r.body, events(1, 2)) // whole events only
+		is.Equal(r.body, events(1, 2)) // complete events only
 		is.Equal(b.runs("r1"), 1)
 	})
 }
 
 func TestStreamFromLastEvent(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		r := b.request(http.MethodPost, "/stream/1", "r1", func(r *http.Request) { r.Header.Set("Last-Event-Id", "4") })
 		is.New(t).Equal(r.body, events(5, 10))
 	})
 }
 
-// TestCallerGone guards against engines that work for a caller who left.
-func TestCallerGone(t *testing.T) {
-	run(t, 0, func(b *bench) {
+// TestCallerDisconnects guards against upstreams that go on working after the caller disconnects.
+func TestCallerDisconnects(t *testing.T) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.troubleAll("model", faker.TroubleSilent)
+		b.injectFaults("model", faker.TroubleSilent)
 		b.client.Timeout = 300 * time.Millisecond
 		is.True(b.request(http.MethodPost, "/stream/1", "r1", nil).err != nil)
 		time.Sleep(100 * time.Millisecond)
@@ -219,21 +221,21 @@
 	})
 }
 
-// TestTimeout guards against an answer that comes after the route's time.
+// TestTimeout guards against a response later than the route's timeout.
 func TestTimeout(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.troubleAll("desk", faker.TroubleSilent)
+		b.injectFaults("desk", faker.TroubleSilent)
 		r := b.request(http.MethodPost, "/short/1", "r1", nil)
 		is.Equal(r.status, http.StatusGatewayTimeout)
 		is.Equal(r.took.Round(10*time.Millisecond), 800*time.Millisecond)
 	})
 }
 
-// TestRevokedKey guards against a revoked key that is served, or a valid one called
-// wrong.
+// TestRevokedKey guards against serving a key that may be revoked while the source is unreachable,
+// and against reporting a key as invalid that may be valid.
 func TestRevokedKey(t *testing.T) {
-	run(t, 5*time.Second, func(b *bench) {
+	runHost(t, 5*time.Second, func(b *testbed) {
 		is := is.New(t)
 		is.Equal(b.request(http.MethodGet, "/look/1", "before", nil).status, http.StatusOK)
 		b.source.SetAway(true)
@@ -241,15 +243,15 @@
 		cfg.Version, cfg.Workspaces = 2, nil
 		b.source.Configure(&cfg)
 		time.Sleep(5 * time.Second)
-		b.assertRefused(b.request(http.MethodGet, "/look/1", "away", nil))
+		b.assertRetryLater(b.request(http.MethodGet, "/look/1", "away", nil))
 		is.Equal(b.runs("away"), 0)
 		r := b.request(http.MethodGet, "/public/1", "public", nil)
-		is.Equal(r.status, http.StatusOK) // what needs no key goes on
+		is.Equal(r.status, http.StatusOK) // routes without keys are still served
 	})
 }
 
 func TestConfigurationInForce(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		cfg := b.cfg
 		cfg.Version = 5
@@ -264,10 +266,10 @@
 	})
 }
 
-// TestLeaving guards against requests to an upstream that left when history was
-// dropped.
-func TestLeaving(t *testing.T) {
-	run(t, 0, func(b *bench) {
+// TestLeavingUpstreamAfterCompaction guards against requests to an upstream that starts to leave
+// just after the source has compacted its history.
+func TestLeavingUpstreamAfterCompaction(t *testing.T) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		b.source.Compact()
 		b.source.List(balancer.Upstream{ID: "desk-a", Service: "desk", Address: "10.1.0.desk-a:80", DataCentre: "here", Slots: 8, Leaving: true})
@@ -280,9 +282,9 @@
 	})
 }
 
-// TestGracefulStop guards against requests cut by a planned stop.
+// TestGracefulStop guards against requests that are broken off by a planned stop.
 func TestGracefulStop(t *testing.T) {
-	run(t, 0, func(b *bench) {
+	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		b.stages["model-a"].Gap, b.stages["model-b"].Gap = 300*time.Millisecond, 300*time.Millisecond
 		stream := make(chan reply, 1)
@@ -290,20 +292,20 @@
 		time.Sleep(time.Second)
 		b.stop()
 		time.Sleep(time.Second)
-		resp, err := b.client.Get("http://" + ready + "/ready")
+		resp, err := b.client.Get("http://" + readyAddress + "/ready")
 		is.NoErr(err)
 		resp.Body.Close()
 		is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 		is.Equal(b.request(http.MethodGet, "/look/1", "late", nil).status, http.StatusOK)
-		b.assertWhole(<-stream)
+		b.assertCompleteStream(<-stream)
 	})
 }
 
-// TestPoison guards against a request that crashes one upstream after the other.
+// TestPoison guards against retries of a request that crashes each upstream it is sent to.
 func TestPoison(t *testing.T) {
 	for service, path := range map[string]string{"desk": "/look/1", "model": "/stream/1"} {
 		t.Run(service, func(t *testing.T) {
-			run(t, 0, func(b *bench) {
+			runHost(t, 0, func(b *testbed) {
 				is := is.New(t)
 				poison := func(r *http.Request) {
 					r.Body = io.NopCloser(strings.NewReader(faker.Poison))
@@ -312,11 +314,11 @@
 				for n := range 8 {
 					r := b.request(http.MethodPost, path, fmt.Sprint("bad", n), poison)
 					is.True(r.err != nil || r.status >= http.StatusInternalServerError)
-					time.Sleep(3 * time.Second) // engines are back
+					time.Sleep(3 * time.Second) // the crashed upstream is up again
 				}
 				is.True(b.crashes.Load() <= 3)
 				r := b.request(http.MethodPost, path, "last", poison)
-				b.assertRefused(r) // as not run
+				b.assertRetryLater(r) // as not executed
 				is.Equal(b.runs("last"), 0)
 				is.Equal(b.request(http.MethodPost, path, "good", nil).status, http.StatusOK)
 			})
--- a/launcher/limit_test.go
+++ b/launcher/limit_test.go
@@ -13,37 +13,37 @@
 	"github.com/sardineward/sardineward/faker"
 )
 
-// runFleet runs hosts in virtual time before three desks and three models, one of each in
-// each data centre, under requests of one path, some a second in all, and checks at the end
-// that each stage got what its limit allows.
+// runFleet runs hosts in virtual time with one upstream of desk and one of model in each of three
+// data centres. The hosts receive perSecond requests in all for one path while f runs. At the end
+// it checks that no upstream received more requests than its limit allows.
 func runFleet(t *testing.T, hosts int, path string, perSecond float64, f func(is *is.I, fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t)
-		for _, dc := range centres {
-			defer fl.startIn("desk-"+dc, dc)()
-			defer fl.startIn("model-"+dc, dc)()
+		for _, dc := range dataCentres {
+			defer fl.startUpstreamIn("desk-"+dc, dc)()
+			defer fl.startUpstreamIn("model-"+dc, dc)()
 		}
-		// A check that fails goes on, so that all hosts end.
-		fl.run(hosts, path, perSecond, func() { f(is.NewRelaxed(t), fl) })
+		// A failed check does not end the test, so that all hosts are stopped.
+		fl.runUnderLoad(hosts, path, perSecond, func() { f(is.NewRelaxed(t), fl) })
 		for id, s := range fl.stages {
 			for _, one := range s.LimitBreaks(func(one *faker.Seen) string { return one.From }) {
-				t.Errorf("%s got %d requests in 4 s at a limit of %g a second, %d allowed", id, one.Got, one.PerSecond, one.Allowed)
+				t.Errorf("upstream %q received %d requests in 4 s at a limit of %g/s, expected at most %d", id, one.Got, one.PerSecond, one.Allowed)
 				break
 			}
 		}
 	})
 }
 
-// limit has upstreams name a limit; empty ends it.
-func (fl *fleet) limit(text string, ids ...string) {
+// setLimit makes upstreams announce a limit; an empty text ends it.
+func (fl *fleet) setLimit(text string, ids ...string) {
 	for _, id := range ids {
 		fl.stages[id].SetLimit(text)
 	}
 }
 
-// TestUpstreamLimit guards against an upstream in need that gets more requests than it
-// said that it takes from all hosts together.
+// TestUpstreamLimit guards against all hosts together sending an overloaded upstream more requests
+// than the limit that it announces.
 func TestUpstreamLimit(t *testing.T) {
 	for _, path := range []string{"/look/1", "/stream/1"} {
 		for _, hosts := range []int{1, 4, 24, 119} {
@@ -54,21 +54,21 @@
 						fl.stages[id].SetLimit("2")
 					}
 					time.Sleep(12 * time.Second)
-					is.Equal(fl.count(http.StatusServiceUnavailable), 0) // the others take the rest
+					is.Equal(fl.count(http.StatusServiceUnavailable), 0) // the other upstreams serve the rest
 				})
 			})
 		}
 	}
 }
 
-// TestLimitChanges guards against a limit that is kept after it has changed or ended, and
-// against an upstream in need that is not used at all.
+// TestLimitChanges guards against hosts that apply a limit after it has changed or ended, or that
+// stop using a limited upstream altogether.
 func TestLimitChanges(t *testing.T) {
 	for _, hosts := range []int{1, 4, 24} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
 			runFleet(t, hosts, "/look/1", 60, func(is *is.I, fl *fleet) {
 				step := func(text string, settle time.Duration, least, most int) {
-					fl.limit(text, "desk-a")
+					fl.setLimit(text, "desk-a")
 					time.Sleep(settle)
 					since := time.Now()
 					time.Sleep(10 * time.Second)
@@ -82,50 +82,50 @@
 				step("1", settle, 4, 15)
 				step("8", settle, 40, 90)
 				step("0", settle, 0, 2)
-				step("", 40*time.Second, 150, 600) // a rare request tells
+				step("", 40*time.Second, 150, 600) // hosts only learn from an occasional request
 				is.Equal(fl.count(http.StatusServiceUnavailable), 0)
 			})
 		})
 	}
 }
 
-// TestLimitsEverywhere guards against requests that wait, or are lost, where all upstreams
-// name limits: what they don't take is refused at once, with when to come back.
-func TestLimitsEverywhere(t *testing.T) {
+// TestAllUpstreamsLimited guards against requests that wait or are lost while all upstreams announce
+// limits: requests above the limits are refused at once, with a Retry-After.
+func TestAllUpstreamsLimited(t *testing.T) {
 	for _, hosts := range []int{4, 24} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
 			runFleet(t, hosts, "/look/1", 60, func(is *is.I, fl *fleet) {
-				fl.limit("4", "desk-a", "desk-b", "desk-c")
+				fl.setLimit("4", "desk-a", "desk-b", "desk-c")
 				time.Sleep(2 * time.Second)
 				since := time.Now()
 				time.Sleep(10 * time.Second)
 				n := fl.served("desk-a", since) + fl.served("desk-b", since) + fl.served("desk-c", since)
 				is.True(n > 90 && n <= 130)
-				is.Equal(fl.count(http.StatusOK)+fl.count(http.StatusServiceUnavailable), fl.all())
+				is.Equal(fl.count(http.StatusOK)+fl.count(http.StatusServiceUnavailable), fl.totalRequests())
 				is.True(fl.slowest < 100*time.Millisecond)
 				r := fl.requestAt("10.0.0.1:80", http.MethodPost, "/look/1", "late", nil)
 				for r.status == http.StatusOK {
 					r = fl.requestAt("10.0.0.1:80", http.MethodPost, "/look/1", "late", nil)
 				}
-				fl.assertRefused(r)
+				fl.assertRetryLater(r)
 				is.True(strings.HasPrefix(r.body, "upstreamLimit"))
 			})
 		})
 	}
 }
 
-// TestLimitWhileHostsFail guards against hosts that together send more than a limit while
-// they differ on who is there.
+// TestLimitWhileHostsFail guards against hosts that together exceed a limit while they disagree on
+// which hosts are alive.
 func TestLimitWhileHostsFail(t *testing.T) {
 	for _, hosts := range []int{4, 24} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
 			runFleet(t, hosts, "/look/1", 60, func(_ *is.I, fl *fleet) {
-				fl.limit("2", "desk-a", "desk-b", "model-a")
+				fl.setLimit("2", "desk-a", "desk-b", "model-a")
 				time.Sleep(4 * time.Second)
 				for _, h := range fl.hosts[:4] {
-					fl.crash(h.Name)
+					fl.crashHost(h.Name)
 					time.Sleep(time.Second)
-					fl.again(h.Name)
+					fl.restartHost(h.Name)
 					time.Sleep(5 * time.Second)
 				}
 				for _, h := range fl.hosts[1:] {
--- a/launcher/named.go
+++ b/launcher/named.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// named holds one value for each name, made when it is first asked for.
-type named[T any] struct {
-	// New makes a value; nil takes the zero value.
+// lazyMap maps names to values that are created on first use. The zero value is ready to use.
+type lazyMap[T any] struct {
+	// New returns a new value; nil means new(T).
 	New func() *T
 
 	mu     sync.Mutex
 	values map[string]*T
 }
 
-// Get returns the value of a name.
-func (n *named[T]) Get(name string) *T {
+// Get returns the value for name, and creates it if there is none.
+func (n *lazyMap[T]) Get(name string) *T {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	v := n.values[name]
--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -20,47 +20,47 @@
 
 const (
 	storeAddress = "10.9.0.1:80"
-	// heartbeat is the time between two entries of an upstream.
-	heartbeat = 1200 * time.Millisecond
-	// drained is how long after its leave was acknowledged an upstream may get requests.
-	drained = 2 * time.Second
+	// heartbeatInterval is the time between two writes of an upstream's entry.
+	heartbeatInterval = 1200 * time.Millisecond
+	// leaveGrace is how long an upstream may still receive requests after its leave was acknowledged.
+	leaveGrace = 2 * time.Second
 )
 
-// restored is a fleet that follows a store which can go back to a copy.
-type restored struct {
+// restoreFleet is a fleet whose hosts follow a store that can be restored from a copy.
+type restoreFleet struct {
 	*fleet
 	store *platform.StandIn
-	// left is when an upstream's leave was acknowledged.
-	left map[string]time.Time
+	// leftAt is the time at which an upstream's leave was acknowledged, by upstream id.
+	leftAt map[string]time.Time
 }
 
-// runRestored runs hosts in virtual time before a store, under requests, and checks that no
-// upstream gets any long after it has left.
-func runRestored(t *testing.T, hosts int, f func(is *is.I, r *restored)) {
+// runRestoreFleet runs hosts under load in virtual time, with a store that f restores, and checks
+// that no upstream receives a request later than leaveGrace after it left.
+func runRestoreFleet(t *testing.T, hosts int, f func(is *is.I, r *restoreFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &restored{fleet: newFleet(t), store: new(platform.StandIn), left: make(map[string]time.Time)}
+		r := &restoreFleet{fleet: newFleet(t), store: new(platform.StandIn), leftAt: make(map[string]time.Time)}
 		cfg := configuration()
 		r.store.Configure(&cfg)
 		stop, err := faker.Serve(r.net.Listen, storeAddress, r.store)
 		is.New(t).NoErr(err)
 		defer stop()
 		r.net.Place(storeAddress, "store")
-		r.connect = r.follow
+		r.connect = r.useStore
 		ctx, cancel := context.WithCancel(context.Background())
-		for n, dc := range centres {
+		for n, dc := range dataCentres {
 			for m, id := range []string{"desk-" + dc, "desk-" + dc + "2"} {
-				defer r.startIn(id, dc)()
-				go r.beat(ctx, id, dc, time.Duration(2*n+m)*heartbeat/6)
+				defer r.startUpstreamIn(id, dc)()
+				go r.sendHeartbeats(ctx, id, dc, time.Duration(2*n+m)*heartbeatInterval/6)
 			}
 		}
-		r.run(hosts, "/look/1", 60, func() {
+		r.runUnderLoad(hosts, "/look/1", 60, func() {
 			f(is.NewRelaxed(t), r)
 			cancel()
-			for id, at := range r.left {
+			for id, at := range r.leftAt {
 				for _, one := range r.stages[id].Seen() {
-					if late := one.At.Sub(at); late > drained {
-						t.Errorf("%s sent %s a request %v after it had said that it leaves", one.From, id, late)
+					if late := one.At.Sub(at); late > leaveGrace {
+						t.Errorf("host %q sent upstream %q a request %v after its leave, expected at most %v", one.From, id, late, leaveGrace)
 						break
 					}
 				}
@@ -69,51 +69,51 @@
 	})
 }
 
-// follow has a host read the store.
-func (r *restored) follow(h *launcher.Host, f follower.Host) {
+// useStore makes a host use the store as its store and as its source.
+func (r *restoreFleet) useStore(h *launcher.Host, f follower.Host) {
 	client := &http.Client{Transport: &http.Transport{DialContext: r.net.Dialer(f.Name), IdleConnTimeout: time.Second}}
 	store := &platform.Store{Address: storeAddress, HTTP: client, Timeout: 800 * time.Millisecond, Log: zerolog.Nop()}
 	h.Store, h.Source = store, &platform.Source{Store: store, Self: f.Name, Log: zerolog.Nop()}
 }
 
-// entry is what an upstream writes of itself.
-func (r *restored) entry(id, dataCentre string, leaving bool) balancer.Upstream {
+// entry returns the entry that an upstream writes.
+func (r *restoreFleet) entry(id, dataCentre string, leaving bool) balancer.Upstream {
 	return balancer.Upstream{ID: id, Service: "desk", Address: "10.1.0." + id + ":80", DataCentre: dataCentre, Slots: 8, StartedAt: 1, Leaving: leaving}
 }
 
-// beat writes the entry of an upstream until it leaves. It looks and writes under one lock,
-// so that the leave is the upstream's last entry also where both fall on one instant.
-func (r *restored) beat(ctx context.Context, id, dataCentre string, after time.Duration) {
+// sendHeartbeats waits, then writes the entry of an upstream every heartbeatInterval until it leaves.
+// Check and write share one lock, so that the leave is the last write even if both coincide.
+func (r *restoreFleet) sendHeartbeats(ctx context.Context, id, dataCentre string, after time.Duration) {
 	time.Sleep(after)
 	for ctx.Err() == nil && r.listUnlessLeft(id, dataCentre) {
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
-// listUnlessLeft writes the ready entry of an upstream; it reports false for one that left.
-func (r *restored) listUnlessLeft(id, dataCentre string) bool {
+// listUnlessLeft writes the ready entry of an upstream, or returns false if it has left.
+func (r *restoreFleet) listUnlessLeft(id, dataCentre string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, left := r.left[id]; left {
+	if _, left := r.leftAt[id]; left {
 		return false
 	}
 	r.store.List(r.entry(id, dataCentre, false))
 	return true
 }
 
-// leave has an upstream say that it leaves.
-func (r *restored) leave(id, dataCentre string) {
+// leave writes the entry by which an upstream announces that it leaves.
+func (r *restoreFleet) leave(id, dataCentre string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.store.List(r.entry(id, dataCentre, true))
-	r.left[id] = time.Now()
+	r.leftAt[id] = time.Now()
 }
 
-// restore has the store be away for a moment and come back from a copy that is some time
-// old. meanwhile is called after that, before any host can reach it.
-func (r *restored) restore(old time.Duration, meanwhile func()) {
+// restore makes the store unreachable for 1.5 s and restores it from a copy of the given age.
+// meanwhile, if not nil, is called after the restore, before any host can reach the store.
+func (r *restoreFleet) restore(age time.Duration, meanwhile func()) {
 	c := r.store.Copy()
-	time.Sleep(old)
+	time.Sleep(age)
 	r.store.SetAway(true)
 	time.Sleep(1500 * time.Millisecond)
 	r.store.Restore(c)
@@ -123,46 +123,46 @@
 	r.store.SetAway(false)
 }
 
-// overtake has the store's revision go beyond any that hosts know.
-func (r *restored) overtake() {
+// advanceRevision raises the store's revision beyond any that hosts know.
+func (r *restoreFleet) advanceRevision() {
 	for range 100 {
 		r.store.List(r.entry("desk-b", "b", false))
 	}
 }
 
-// TestStoreRestored guards against hosts that miss that an upstream leaves, since the store
-// came back from a copy and gives its revisions out again.
+// TestStoreRestored guards against hosts that miss that an upstream leaves because the store was
+// restored from a copy and assigns the same revisions a second time.
 func TestStoreRestored(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// play restores the store and has desk-a and desk-c leave around that.
-		play func(r *restored, old time.Duration)
+		// scenario restores the store and makes desk-a and desk-c leave around that time.
+		scenario func(r *restoreFleet, copyAge time.Duration)
 	}{
-		{"left soon after", func(r *restored, old time.Duration) {
-			r.restore(old, nil)
+		{"leave soon after the restore", func(r *restoreFleet, copyAge time.Duration) {
+			r.restore(copyAge, nil)
 			time.Sleep(300 * time.Millisecond)
 			r.leave("desk-a", "a")
 			r.leave("desk-c", "c")
 		}},
-		{"left before the store was reached, revision overtaken", func(r *restored, old time.Duration) {
-			r.restore(old, func() {
+		{"leave before the store is reachable, revisions overtaken", func(r *restoreFleet, copyAge time.Duration) {
+			r.restore(copyAge, func() {
 				r.leave("desk-a", "a")
 				r.leave("desk-c", "c")
-				r.overtake()
+				r.advanceRevision()
 			})
 		}},
-		{"twice in a row", func(r *restored, old time.Duration) {
-			r.restore(old, nil)
-			r.restore(old/2, nil)
+		{"restored twice in a row", func(r *restoreFleet, copyAge time.Duration) {
+			r.restore(copyAge, nil)
+			r.restore(copyAge/2, nil)
 			time.Sleep(300 * time.Millisecond)
 			r.leave("desk-a", "a")
 			r.leave("desk-c", "c")
 		}},
-		{"left before, forgotten and written again", func(r *restored, old time.Duration) {
+		{"leave before the restore, lost and written again", func(r *restoreFleet, copyAge time.Duration) {
 			c := r.store.Copy()
 			r.leave("desk-a", "a")
 			r.leave("desk-c", "c")
-			time.Sleep(old)
+			time.Sleep(copyAge)
 			r.store.SetAway(true)
 			time.Sleep(1500 * time.Millisecond)
 			r.store.Restore(c)
@@ -171,24 +171,24 @@
 			r.store.List(r.entry("desk-a", "a", true))
 			r.store.List(r.entry("desk-c", "c", true))
 		}},
-		{"two hosts turned away", func(r *restored, old time.Duration) {
+		{"two hosts cut off from the store", func(r *restoreFleet, copyAge time.Duration) {
 			for _, h := range r.hosts[:min(2, len(r.hosts)-1)] {
 				r.net.Cut(h.Name, "store")
 			}
-			r.restore(old, nil)
+			r.restore(copyAge, nil)
 			time.Sleep(300 * time.Millisecond)
 			r.leave("desk-a", "a")
 			r.leave("desk-c", "c")
 		}},
 	} {
 		for _, hosts := range []int{1, 4, 24} {
-			for _, old := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 10 * time.Second} {
-				t.Run(fmt.Sprintf("%s, %v old, %d hosts", c.name, old, hosts), func(t *testing.T) {
-					runRestored(t, hosts, func(is *is.I, r *restored) {
+			for _, copyAge := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 10 * time.Second} {
+				t.Run(fmt.Sprintf("%s, %v old, %d hosts", c.name, copyAge, hosts), func(t *testing.T) {
+					runRestoreFleet(t, hosts, func(is *is.I, r *restoreFleet) {
 						time.Sleep(2 * time.Second)
-						c.play(r, old)
+						c.scenario(r, copyAge)
 						time.Sleep(6 * time.Second)
-						is.True(float64(r.count(http.StatusOK)) > 0.97*float64(r.all()))
+						is.True(float64(r.count(http.StatusOK)) > 0.97*float64(r.totalRequests()))
 					})
 				})
 			}
