--- a/faker/conn.go
+++ b/faker/conn.go
@@ -10,77 +10,76 @@
 )
 
 const (
-	// queued pieces of pieceSize bytes are what a connection takes before the
-	// other end reads, about what a kernel's buffer holds.
-	queued    = 64
-	pieceSize = 1 << 10
-	// flush bounds how long what is queued at Close waits to be read: callers
-	// pause for some seconds in between.
-	flush = 20 * time.Second
+	// maxQueuedChunks is the number of chunks of at most chunkSize bytes that a connection
+	// buffers until the other end reads, about as much as a kernel's socket buffer.
+	maxQueuedChunks = 64
+	chunkSize       = 1 << 10
+	// flushTimeout bounds how long data that is queued at Close waits to be read. Callers pause
+	// for several seconds between reads.
+	flushTimeout = 20 * time.Second
 )
 
-// conn is one end of a connection in memory. A write does not wait for the other
-// end to read, as one to a kernel does not: net/http closes a TLS connection,
-// which writes an alert, with its lock held; over a bare net.Pipe both ends
-// wrote to each other while a third goroutine waited for the lock, and virtual
-// time, which does not pass while one does, never reached their deadline.
+// conn is one end of an in-memory connection. Like a kernel socket, it buffers writes instead of
+// waiting for the other end to read. net/http holds a lock while it closes a TLS connection, which
+// writes an alert. Over a bare net.Pipe, both ends blocked in that write while a third goroutine
+// waited for the lock. Virtual time does not advance while a goroutine waits for a lock, so the
+// write deadlines never passed.
 type conn struct {
 	// Conn is the end of a net.Pipe.
 	net.Conn
-	n        *Network
-	from, to []string
-	peer     *conn
+	network       *Network
+	local, remote []string
+	peer          *conn
 
-	out chan []byte
-	// closed ends with Close, broken with a write that the other end did not
-	// take.
+	queue chan []byte
+	// closed is closed by Close, broken by a failed write to the other end.
 	closed, broken chan struct{}
 	once           sync.Once
 
 	mu sync.Mutex
-	// deadline is of writes that find the queue full; zero is none.
-	deadline time.Time
+	// writeDeadline applies to writes that find the queue full; zero means none.
+	writeDeadline time.Time
 }
 
-func newConn(pipe net.Conn, n *Network, from, to []string) *conn {
+func newConn(pipe net.Conn, network *Network, local, remote []string) *conn {
 	return &conn{
-		Conn: pipe, n: n, from: from, to: to,
-		out: make(chan []byte, queued), closed: make(chan struct{}), broken: make(chan struct{}),
+		Conn: pipe, network: network, local: local, remote: remote,
+		queue: make(chan []byte, maxQueuedChunks), closed: make(chan struct{}), broken: make(chan struct{}),
 	}
 }
 
-// RemoteAddr is the first place of the other end.
+// RemoteAddr returns the first location of the other end, or the address of the pipe if it has none.
 func (c *conn) RemoteAddr() net.Addr {
-	if len(c.to) == 0 {
+	if len(c.remote) == 0 {
 		return c.Conn.RemoteAddr()
 	}
-	return address(c.to[0])
+	return address(c.remote[0])
 }
 
-// pump writes what is queued until the connection is closed. What the other end
-// has sent can still be read after a write has failed.
-func (c *conn) pump() {
+// writeLoop writes queued chunks until the connection is closed. After a failed write it leaves the
+// pipe open, so that data from the other end can still be read.
+func (c *conn) writeLoop() {
 	defer c.Conn.Close()
 	for {
 		select {
-		case b := <-c.out:
+		case b := <-c.queue:
 			if _, err := c.Conn.Write(b); err != nil {
 				close(c.broken)
 				<-c.closed
 				return
 			}
 		case <-c.closed:
-			c.drain()
+			c.writeRemaining()
 			return
 		}
 	}
 }
 
-// drain writes what was queued before Close.
-func (c *conn) drain() {
+// writeRemaining writes the chunks that were queued before Close.
+func (c *conn) writeRemaining() {
 	for {
 		select {
-		case b := <-c.out:
+		case b := <-c.queue:
 			if _, err := c.Conn.Write(b); err != nil {
 				return
 			}
@@ -90,29 +89,29 @@
 	}
 }
 
-// Write queues a copy of b. A deadline that is set while it waits for a place in
-// the queue counts from the next write on.
+// Write queues a copy of b. A deadline that is set while Write waits for space in the queue only
+// applies to later writes.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	deadline := c.deadline
+	deadline := c.writeDeadline
 	c.mu.Unlock()
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if !deadline.IsZero() {
 		timer := time.NewTimer(time.Until(deadline))
 		defer timer.Stop()
-		late = timer.C
+		timeout = timer.C
 	}
 	n := 0
-	for piece := range slices.Chunk(b, pieceSize) {
-		if err := c.queue(slices.Clone(piece), late); err != nil {
+	for chunk := range slices.Chunk(b, chunkSize) {
+		if err := c.enqueue(slices.Clone(chunk), timeout); err != nil {
 			return n, err
 		}
-		n += len(piece)
+		n += len(chunk)
 	}
 	return n, nil
 }
 
-func (c *conn) queue(piece []byte, late <-chan time.Time) error {
+func (c *conn) enqueue(chunk []byte, timeout <-chan time.Time) error {
 	select {
 	case <-c.closed:
 		return net.ErrClosed
@@ -121,13 +120,13 @@
 	default:
 	}
 	select {
-	case c.out <- piece:
+	case c.queue <- chunk:
 		return nil
 	case <-c.closed:
 		return net.ErrClosed
 	case <-c.broken:
 		return io.ErrClosedPipe
-	case <-late:
+	case <-timeout:
 		return os.ErrDeadlineExceeded
 	}
 }
@@ -144,21 +143,21 @@
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
+	c.writeDeadline = t
 	return nil
 }
 
-// Close closes both ends once what was written is read, or flush is over.
+// Close closes both ends once the queued data is read, or after flushTimeout.
 func (c *conn) Close() error {
 	c.once.Do(func() {
-		c.n.mu.Lock()
-		delete(c.n.conns, c)
-		c.n.mu.Unlock()
-		_ = c.Conn.SetWriteDeadline(time.Now().Add(flush))
+		c.network.mu.Lock()
+		delete(c.network.conns, c)
+		c.network.mu.Unlock()
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(flushTimeout))
 		_ = c.SetReadDeadline(time.Now())
 		close(c.closed)
 		if c.peer.isClosed() {
-			// Nobody is left to read.
+			// Neither end will read the queued data.
 			_ = c.Conn.Close()
 			_ = c.peer.Conn.Close()
 		}
--- a/faker/directory.go
+++ b/faker/directory.go
@@ -13,51 +13,53 @@
 	"github.com/sardineward/sardineward/matcher"
 )
 
-// errAway is what an unreachable Directory answers.
-var errAway = errors.New("faker: source is away")
+// errUnavailable is the error of every call to an unreachable Directory.
+var errUnavailable = errors.New("faker: source is unavailable")
 
-// Directory is a follower.Source in memory: a configuration, upstreams and hosts.
+// Directory is an in-memory follower.Source with a configuration, upstreams and hosts. The zero
+// value is empty and ready to use.
 type Directory struct {
 	mu sync.Mutex
-	// era is how often it came back from a copy.
-	era      int64
-	revision int64
-	cfg      *matcher.Configuration
-	ups      map[string]balancer.Upstream
-	hosts    []follower.Host
-	log      []listing
-	away     bool
-	changed  chan struct{}
-}
-
-type listing struct {
-	revision int64
-	cfg      *matcher.Configuration
-	up       *balancer.Upstream
-	gone     string
-	host     *follower.Host
-	hostGone string
-}
-
-// Configure puts a configuration into the source.
+	// era counts the calls of Restore.
+	era         int64
+	revision    int64
+	cfg         *matcher.Configuration
+	upstreams   map[string]balancer.Upstream
+	hosts       []follower.Host
+	history     []historyEntry
+	unavailable bool
+	changed     chan struct{}
+}
+
+// historyEntry is one change; exactly one field besides revision is set.
+type historyEntry struct {
+	revision        int64
+	cfg             *matcher.Configuration
+	upstream        *balancer.Upstream
+	removedUpstream string
+	host            *follower.Host
+	removedHost     string
+}
+
+// Configure replaces the configuration.
 func (d *Directory) Configure(cfg *matcher.Configuration) {
-	d.add(func(c *listing) { d.cfg, c.cfg = cfg, cfg })
+	d.record(func(c *historyEntry) { d.cfg, c.cfg = cfg, cfg })
 }
 
-// List writes an upstream's entry, Drop removes it.
+// List adds or replaces the entry of an upstream.
 func (d *Directory) List(u balancer.Upstream) {
-	d.add(func(c *listing) {
-		if d.ups == nil {
-			d.ups = make(map[string]balancer.Upstream)
+	d.record(func(c *historyEntry) {
+		if d.upstreams == nil {
+			d.upstreams = make(map[string]balancer.Upstream)
 		}
-		d.ups[u.ID] = u
-		c.up = &u
+		d.upstreams[u.ID] = u
+		c.upstream = &u
 	})
 }
 
-// Host writes the entry of an entry host.
+// Host adds the entry of an entry host.
 func (d *Directory) Host(h follower.Host) {
-	d.add(func(c *listing) {
+	d.record(func(c *historyEntry) {
 		d.hosts = append(d.hosts, h)
 		c.host = &h
 	})
@@ -65,17 +67,17 @@
 
 // DropHost removes the entry of an entry host.
 func (d *Directory) DropHost(name string) {
-	d.add(func(c *listing) {
+	d.record(func(c *historyEntry) {
 		d.hosts = slices.DeleteFunc(slices.Clone(d.hosts), func(h follower.Host) bool { return h.Name == name })
-		c.hostGone = name
+		c.removedHost = name
 	})
 }
 
 // Drop removes an upstream's entry.
 func (d *Directory) Drop(id string) {
-	d.add(func(c *listing) {
-		delete(d.ups, id)
-		c.gone = id
+	d.record(func(c *historyEntry) {
+		delete(d.upstreams, id)
+		c.removedUpstream = id
 	})
 }
 
@@ -83,47 +85,48 @@
 func (d *Directory) SetAway(away bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.away = away
+	d.unavailable = away
 }
 
 func (d *Directory) position() follower.Position {
 	return follower.Position{Era: d.era, Revision: d.revision}
 }
 
-// Copy returns what it holds, for Restore.
+// Copy returns a snapshot of the current state, for Restore.
 func (d *Directory) Copy() *Directory {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &Directory{revision: d.revision, cfg: d.cfg, ups: maps.Clone(d.ups), hosts: slices.Clone(d.hosts), log: slices.Clone(d.log)}
+	return &Directory{revision: d.revision, cfg: d.cfg, upstreams: maps.Clone(d.upstreams), hosts: slices.Clone(d.hosts), history: slices.Clone(d.history)}
 }
 
-// Restore goes back to a copy: what was written since is gone, and revisions are given out
-// again.
+// Restore goes back to a snapshot: later writes are lost, and later revisions are assigned again.
 func (d *Directory) Restore(c *Directory) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.era++
-	d.revision, d.cfg, d.ups, d.hosts, d.log = c.revision, c.cfg, maps.Clone(c.ups), slices.Clone(c.hosts), slices.Clone(c.log)
+	d.revision, d.cfg, d.upstreams, d.hosts, d.history = c.revision, c.cfg, maps.Clone(c.upstreams), slices.Clone(c.hosts), slices.Clone(c.history)
 	if d.changed != nil {
 		close(d.changed)
 		d.changed = nil
 	}
 }
 
-// Compact forgets all history.
+// Compact drops the history, so that Changes since an earlier revision fails with
+// follower.ErrCompacted.
 func (d *Directory) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.log = nil
+	d.history = nil
 }
 
-func (d *Directory) add(set func(*listing)) {
+// record adds a change, which set fills in under the lock, and wakes waiting calls of Changes.
+func (d *Directory) record(set func(*historyEntry)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	c := listing{revision: d.revision}
+	c := historyEntry{revision: d.revision}
 	set(&c)
-	d.log = append(d.log, c)
+	d.history = append(d.history, c)
 	if d.changed != nil {
 		close(d.changed)
 		d.changed = nil
@@ -134,11 +137,11 @@
 func (d *Directory) Load(context.Context, follower.LoadDelay) (*follower.Changes, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.away {
-		return nil, errAway
+	if d.unavailable {
+		return nil, errUnavailable
 	}
 	out := &follower.Changes{Position: d.position(), Configuration: d.cfg, Hosts: slices.Clone(d.hosts)}
-	for _, u := range d.ups {
+	for _, u := range d.upstreams {
 		out.Listed = append(out.Listed, u)
 	}
 	return out, nil
@@ -148,8 +151,8 @@
 func (d *Directory) Configuration(context.Context) (*matcher.Configuration, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.away {
-		return nil, errAway
+	if d.unavailable {
+		return nil, errUnavailable
 	}
 	return d.cfg, nil
 }
@@ -159,11 +162,11 @@
 	after := at.Revision
 	d.mu.Lock()
 	if d.era == at.Era && d.revision <= after {
-		d.wait(ctx, wait)
+		d.waitForChange(ctx, wait)
 	}
 	defer d.mu.Unlock()
-	if d.away {
-		return nil, errAway
+	if d.unavailable {
+		return nil, errUnavailable
 	}
 	if d.era != at.Era {
 		return nil, follower.ErrCompacted
@@ -172,29 +175,29 @@
 	if d.revision <= after {
 		return out, nil
 	}
-	if len(d.log) == 0 || d.log[0].revision > after+1 {
+	if len(d.history) == 0 || d.history[0].revision > after+1 {
 		return nil, follower.ErrCompacted
 	}
-	for _, c := range d.log {
+	for _, c := range d.history {
 		switch {
 		case c.revision <= after:
 		case c.cfg != nil:
 			out.Configuration = c.cfg
-		case c.up != nil:
-			out.Listed = append(out.Listed, *c.up)
+		case c.upstream != nil:
+			out.Listed = append(out.Listed, *c.upstream)
 		case c.host != nil:
 			out.Hosts = append(out.Hosts, *c.host)
-		case c.hostGone != "":
-			out.RemovedHosts = append(out.RemovedHosts, c.hostGone)
+		case c.removedHost != "":
+			out.RemovedHosts = append(out.RemovedHosts, c.removedHost)
 		default:
-			out.Removed = append(out.Removed, c.gone)
+			out.Removed = append(out.Removed, c.removedUpstream)
 		}
 	}
 	return out, nil
 }
 
-// wait lets go of the lock until something changes.
-func (d *Directory) wait(ctx context.Context, limit time.Duration) {
+// waitForChange releases d.mu until a change, the end of ctx, or maxWait has passed.
+func (d *Directory) waitForChange(ctx context.Context, maxWait time.Duration) {
 	if d.changed == nil {
 		d.changed = make(chan struct{})
 	}
@@ -203,7 +206,7 @@
 	defer d.mu.Lock()
 	select {
 	case <-changed:
-	case <-time.After(limit):
+	case <-time.After(maxWait):
 	case <-ctx.Done():
 	}
 }
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -17,41 +17,41 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// Poison in a prompt crashes every engine that runs it.
+// Poison crashes every engine that runs a prompt which contains it.
 const Poison = "\x00poison"
 
 const (
-	// promptWeight is how many prompt bytes cost as much as one token.
-	promptWeight = 64
-	// cachedPart is the part of a prompt's cost that remains when its prefix
-	// is cached.
-	cachedPart = 0.1
-	// cachedPrefixes is how many prefixes an engine remembers.
-	cachedPrefixes = 64
-	prefixBytes    = 256
+	// promptBytesPerToken is the number of prompt bytes that cost as much as one token.
+	promptBytesPerToken = 64
+	// cachedPromptCost is the fraction of a prompt's cost that remains if its prefix is cached.
+	cachedPromptCost = 0.1
+	// maxCachedPrefixes is the number of prompt prefixes, each of prefixBytes bytes, that an
+	// engine caches.
+	maxCachedPrefixes = 64
+	prefixBytes       = 256
 )
 
-// Fleet is a set of engines that can reach each other.
+// Fleet is a set of engines that can reach each other. NewFleet creates one.
 type Fleet struct {
 	// Links are the latencies between data centres; set before use.
 	Links picker.Links
-	// Lag is how old reported loads are at the most; set before use.
+	// Lag is the maximum age of reported loads; set before use.
 	Lag time.Duration
 
 	mu        sync.Mutex
 	byAddress map[string]*Engine
-	// Started counts attempts that ran a layer, by request.
-	started map[string]int
-	slow    map[[2]string]time.Duration
+	// attempts counts the attempts that an engine started, by request id.
+	attempts     map[string]int
+	extraLatency map[[2]string]time.Duration
 }
 
-// NewFleet makes an engine for each upstream that holds a model.
+// NewFleet returns a fleet with one running engine for each upstream that holds a model.
 func NewFleet(cfg *builder.Configuration) *Fleet {
 	f := &Fleet{
-		Links:     make(picker.Links),
-		byAddress: make(map[string]*Engine),
-		started:   make(map[string]int),
-		slow:      make(map[[2]string]time.Duration),
+		Links:        make(picker.Links),
+		byAddress:    make(map[string]*Engine),
+		attempts:     make(map[string]int),
+		extraLatency: make(map[[2]string]time.Duration),
 	}
 	for _, l := range cfg.Links {
 		f.Links[[2]string{l.From, l.To}] = time.Duration(l.LatencyMs * float64(time.Millisecond))
@@ -71,13 +71,13 @@
 				e.loaded = planner.Target{Model: m.Name, Version: m.Version, First: u.FirstLayer, Last: u.LastLayer}
 			}
 		}
-		e.begin()
+		e.start()
 		f.byAddress[u.Address] = e
 	}
 	return f
 }
 
-// Engines lists them by name.
+// Engines returns all engines, sorted by name.
 func (f *Fleet) Engines() []*Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +89,7 @@
 	return out
 }
 
-// Engine returns one by name, or nil.
+// Engine returns the engine with a name, or nil.
 func (f *Fleet) Engine(name string) *Engine {
 	for _, e := range f.Engines() {
 		if e.Upstream.Name == name {
@@ -99,100 +99,102 @@
 	return nil
 }
 
-// Started returns how many attempts of a request ran a layer.
+// Started returns the number of attempts of a request that an engine started.
 func (f *Fleet) Started(requestID string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.started[requestID]
+	return f.attempts[requestID]
 }
 
-// SlowLink adds to the latency between two data centres; 0 undoes it.
+// SlowLink adds d to the latency between two data centres, in both directions; 0 removes it.
 func (f *Fleet) SlowLink(a, b string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slow[[2]string{a, b}], f.slow[[2]string{b, a}] = d, d
+	f.extraLatency[[2]string{a, b}], f.extraLatency[[2]string{b, a}] = d, d
 }
 
 func (f *Fleet) latency(a, b string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.Links.Latency(a, b) + f.slow[[2]string{a, b}]
+	return f.Links.Latency(a, b) + f.extraLatency[[2]string{a, b}]
 }
 
-// Close ends every engine.
+// Close kills every engine.
 func (f *Fleet) Close() {
 	for _, e := range f.Engines() {
 		e.Kill()
 	}
 }
 
-// Engine batches continuously: each iteration takes up to a batch of the steps
-// that wait, those of higher priority first, and lasts as long as its kind of
-// accelerator needs for them.
+// Engine simulates an engine with continuous batching: each iteration takes up to a batch of the
+// waiting steps, those of higher priority first, and lasts as long as its kind of accelerator
+// needs for them.
 type Engine struct {
 	Upstream builder.Upstream
 	Kind     builder.Accelerator
 
 	fleet *Fleet
 	mu    sync.Mutex
-	// loaded is what it holds; fence is the highest number it was given.
-	loaded      planner.Target
-	fence       int64
-	incarnation int64
-	dead        chan struct{}
-	wake        chan struct{}
-	paused      chan struct{}
-	leaving     bool
-	waiting     []*step
-	running     int
-	prefixes    []uint64
-	reported    tracker.Load
-	reportedAt  time.Time
-	// Hits and Misses count prompts by whether their prefix was cached, Crashes
-	// how often it died of a prompt, Loads the orders it followed.
+	// loaded is the model and layers that it holds; highestFence is the highest fencing number of
+	// any order.
+	loaded       planner.Target
+	highestFence int64
+	incarnation  int64
+	dead         chan struct{}
+	wake         chan struct{}
+	paused       chan struct{}
+	leaving      bool
+	waiting      []*step
+	running      int
+	prefixes     []uint64
+	reported     tracker.Load
+	reportedAt   time.Time
+	// Hits and Misses count prompts by whether their prefix was cached, Crashes counts the
+	// crashes by Poison, Loads counts the orders applied.
 	Hits, Misses, Crashes, Loads int
-	begun                        int
-	// midRange is until when it answers with other layers than asked.
-	midRange time.Time
+	sequencesStarted             int
+	// wrongSpanUntil is the time until which it reports other layers than requested.
+	wrongSpanUntil time.Time
 }
 
-// MidRangeFor makes it run other layers than asked for a while, as one that is
-// reloaded in mid-stream does.
+// MidRangeFor makes the engine report other layers than requested for d, as an engine does that is
+// reloaded in mid-stream.
 func (e *Engine) MidRangeFor(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.midRange = time.Now().Add(d)
+	e.wrongSpanUntil = time.Now().Add(d)
 }
 
-// ran is the span it runs when asked for s.
-func (e *Engine) ran(s streamer.Span) streamer.Span {
+// reportedSpan returns the span that the engine reports after a request to run s.
+func (e *Engine) reportedSpan(s streamer.Span) streamer.Span {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.midRange) {
+	if time.Now().Before(e.wrongSpanUntil) {
 		s.First++
 	}
 	return s
 }
 
+// step is the work of one token on one engine. remainingCost is in tokens for each layer.
 type step struct {
-	priority int
-	weight   float64
-	layers   int
-	done     chan struct{}
+	priority      int
+	remainingCost float64
+	layers        int
+	done          chan struct{}
 }
 
-// begin starts its iterations; the caller holds mu or is alone.
-func (e *Engine) begin() {
+// start resets the engine and starts its iterations; e.mu is held unless nothing else uses e yet.
+func (e *Engine) start() {
 	e.dead = make(chan struct{})
 	e.wake = make(chan struct{}, 1)
 	e.leaving = false
 	e.waiting, e.running = nil, 0
 	e.prefixes = nil
 	e.reportedAt = time.Time{}
-	go e.iterate(e.dead, e.wake)
+	go e.runBatches(e.dead, e.wake)
 }
 
-// Kill ends it at once.
+// Kill stops the engine at once, as the end of its process does.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -201,7 +203,7 @@
 	}
 }
 
-// Restart brings it back with a newer incarnation.
+// Restart kills the engine if it runs and starts it again with a newer incarnation.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -209,16 +211,17 @@
 		close(e.dead)
 	}
 	e.incarnation = max(e.incarnation+1, time.Now().UnixMilli())
-	e.begin()
+	e.start()
 }
 
-// Dead reports whether it was killed.
+// Dead reports whether the engine was killed or has crashed.
 func (e *Engine) Dead() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.isDead()
 }
 
+// isDead is like Dead; e.mu is held.
 func (e *Engine) isDead() bool {
 	select {
 	case <-e.dead:
@@ -228,7 +231,7 @@
 	}
 }
 
-// Pause freezes it until Resume.
+// Pause makes the engine stop responding until Resume.
 func (e *Engine) Pause() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -247,22 +250,22 @@
 	}
 }
 
-// Paused reports whether it is frozen.
+// Paused reports whether the engine is paused.
 func (e *Engine) Paused() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.paused != nil
 }
 
-// Leave makes it take no new work.
+// Leave makes the engine report that it is leaving and refuse new requests.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// thaw waits while it is paused.
-func (e *Engine) thaw(ctx context.Context) error {
+// waitWhilePaused returns once the engine is not paused, or with the error of ctx.
+func (e *Engine) waitWhilePaused(ctx context.Context) error {
 	e.mu.Lock()
 	paused := e.paused
 	e.mu.Unlock()
@@ -277,7 +280,7 @@
 	}
 }
 
-// Load is its report, at most the fleet's lag old.
+// Load returns the reported load, which is at most Fleet.Lag old.
 func (e *Engine) Load() tracker.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -290,9 +293,10 @@
 	return out
 }
 
-func (e *Engine) iterate(dead, wake chan struct{}) {
+// runBatches runs iterations until dead is closed. wake tells it that a step is waiting.
+func (e *Engine) runBatches(dead, wake chan struct{}) {
 	for {
-		ended, d := e.next()
+		finished, d := e.nextBatch()
 		if d == 0 {
 			select {
 			case <-wake:
@@ -306,47 +310,48 @@
 		case <-dead:
 			return
 		}
-		for _, s := range ended {
+		for _, s := range finished {
 			close(s.done)
 		}
 	}
 }
 
-// next takes the steps of an iteration. A prompt is read in pieces of at most
-// half a batch, beside other sequences' tokens, and goes on in the next
-// iteration; the steps returned are those that end with this one.
-func (e *Engine) next() ([]*step, time.Duration) {
+// nextBatch returns the steps that finish with the next iteration, and its duration, 0 if no step
+// waits. A prompt is processed in chunks of at most half a batch, next to the tokens of other
+// sequences, and continues in later iterations.
+func (e *Engine) nextBatch() ([]*step, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.waiting) == 0 {
 		return nil, 0
 	}
 	slices.SortStableFunc(e.waiting, func(a, b *step) int { return b.priority - a.priority })
-	room := float64(e.Kind.Batch)
-	piece := max(1, room/2)
-	var work float64
-	var ended, rest []*step
+	capacity := float64(e.Kind.Batch)
+	maxChunk := max(1, capacity/2)
+	var layerCost float64
+	var finished, unfinished []*step
 	for _, s := range e.waiting {
-		part := min(s.weight, piece, room)
-		room -= part
-		s.weight -= part
-		work += part * float64(s.layers)
-		if s.weight <= 0 {
-			ended = append(ended, s)
+		chunk := min(s.remainingCost, maxChunk, capacity)
+		capacity -= chunk
+		s.remainingCost -= chunk
+		layerCost += chunk * float64(s.layers)
+		if s.remainingCost <= 0 {
+			finished = append(finished, s)
 			continue
 		}
-		rest = append(rest, s)
+		unfinished = append(unfinished, s)
 	}
-	e.waiting = rest
-	return ended, time.Duration((e.Kind.StepMs + work*e.Kind.LayerMs) * float64(time.Millisecond))
+	e.waiting = unfinished
+	return finished, time.Duration((e.Kind.StepMs + layerCost*e.Kind.LayerMs) * float64(time.Millisecond))
 }
 
-// run runs layers for one token. first is set on a request's first token here.
+// run runs the layers of a stage for one token. first is set for the first token of a request on
+// this engine.
 func (e *Engine) run(ctx context.Context, g *streamer.GenerateRequest, s streamer.Stage, first bool) *streamer.EngineError {
-	if err := e.thaw(ctx); err != nil {
-		return e.errorf(streamer.KindDown, "canceled")
+	if err := e.waitWhilePaused(ctx); err != nil {
+		return e.newError(streamer.KindDown, "canceled")
 	}
-	if refusal := e.check(g, s, first); refusal != nil {
+	if refusal := e.checkStage(g, s, first); refusal != nil {
 		return refusal
 	}
 	if strings.Contains(g.Prompt, Poison) {
@@ -354,9 +359,9 @@
 		e.Crashes++
 		e.mu.Unlock()
 		e.Kill()
-		return e.errorf(streamer.KindDown, "crashed")
+		return e.newError(streamer.KindDown, "crashed")
 	}
-	st := &step{priority: g.Priority, weight: e.cost(g, first), layers: s.Last - s.First + 1, done: make(chan struct{})}
+	st := &step{priority: g.Priority, remainingCost: e.tokenCost(g, first), layers: s.Last - s.First + 1, done: make(chan struct{})}
 	e.mu.Lock()
 	e.waiting = append(e.waiting, st)
 	dead, wake := e.dead, e.wake
@@ -368,47 +373,49 @@
 	select {
 	case <-st.done:
 	case <-dead:
-		return e.errorf(streamer.KindDown, "died")
+		return e.newError(streamer.KindDown, "died")
 	case <-ctx.Done():
-		return e.errorf(streamer.KindDown, "canceled")
+		return e.newError(streamer.KindDown, "canceled")
 	}
-	if e.thaw(ctx) != nil {
-		return e.errorf(streamer.KindDown, "canceled")
+	if e.waitWhilePaused(ctx) != nil {
+		return e.newError(streamer.KindDown, "canceled")
 	}
 	return nil
 }
 
-// check reports why a stage can't run here.
-func (e *Engine) check(g *streamer.GenerateRequest, s streamer.Stage, first bool) *streamer.EngineError {
+// checkStage returns an error if the engine can't run a stage, or nil.
+func (e *Engine) checkStage(g *streamer.GenerateRequest, s streamer.Stage, first bool) *streamer.EngineError {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.isDead():
-		return e.errorf(streamer.KindUnreachable, "not there")
+		return e.newError(streamer.KindUnreachable, "not there")
 	case e.leaving && first:
-		return e.errorf(streamer.KindLeaving, "leaving")
+		return e.newError(streamer.KindLeaving, "leaving")
 	case e.loaded.Model != g.Model || e.loaded.Version != g.Version || s.First < e.loaded.First || s.Last > e.loaded.Last:
-		return e.errorf(streamer.KindNotLoaded, fmt.Sprintf("holds %+v", e.loaded))
+		return e.newError(streamer.KindNotLoaded, fmt.Sprintf("holds %+v", e.loaded))
 	}
 	return nil
 }
 
-// cost is a token's part of a batch: the prompt is read with the first one.
-func (e *Engine) cost(g *streamer.GenerateRequest, first bool) float64 {
+// tokenCost returns how much of a batch a token takes. The first token includes the prompt.
+func (e *Engine) tokenCost(g *streamer.GenerateRequest, first bool) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !first {
 		return 1
 	}
-	e.begun++
-	prompt := float64(len(g.Prompt)) / promptWeight
-	if len(g.Prompt) >= prefixBytes && e.cached(xxhash.Sum64String(g.Prompt[:prefixBytes])) {
-		prompt *= cachedPart
+	e.sequencesStarted++
+	prompt := float64(len(g.Prompt)) / promptBytesPerToken
+	if len(g.Prompt) >= prefixBytes && e.usePrefix(xxhash.Sum64String(g.Prompt[:prefixBytes])) {
+		prompt *= cachedPromptCost
 	}
 	return 1 + prompt
 }
 
-func (e *Engine) cached(prefix uint64) bool {
+// usePrefix reports whether a prefix is cached, and makes it the most recently used one. The least
+// recently used prefix is evicted. e.mu is held.
+func (e *Engine) usePrefix(prefix uint64) bool {
 	i := slices.Index(e.prefixes, prefix)
 	if i >= 0 {
 		e.prefixes = append(slices.Delete(e.prefixes, i, i+1), prefix)
@@ -417,63 +424,65 @@
 	}
 	e.Misses++
 	e.prefixes = append(e.prefixes, prefix)
-	if len(e.prefixes) > cachedPrefixes {
+	if len(e.prefixes) > maxCachedPrefixes {
 		e.prefixes = e.prefixes[1:]
 	}
 	return false
 }
 
-func (e *Engine) errorf(kind, text string) *streamer.EngineError {
+func (e *Engine) newError(kind, text string) *streamer.EngineError {
 	return &streamer.EngineError{Kind: kind, Upstream: e.Upstream.Name, Text: text}
 }
 
-func (e *Engine) count(n int) {
+// addRunning adds n to the number of running sequences.
+func (e *Engine) addRunning(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running = max(0, e.running+n)
 }
 
-// Running is how many sequences it holds.
+// Running returns the number of sequences that the engine is running.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// Begun is how many sequences ran a layer here.
+// Begun returns the number of sequences that this engine has run a layer for.
 func (e *Engine) Begun() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.begun
+	return e.sequencesStarted
 }
 
-// Loaded returns what it holds.
+// Loaded returns the model and layers that the engine holds.
 func (e *Engine) Loaded() planner.Target {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loaded
 }
 
-// Order makes it hold a target. One that checks fences refuses an old number.
+// Order makes the engine hold a target. An upstream with ChecksFence returns planner.ErrFenced for
+// a fencing number lower than an earlier one.
 func (e *Engine) Order(o planner.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.Upstream.ChecksFence && o.Fence < e.fence {
+	if e.Upstream.ChecksFence && o.Fence < e.highestFence {
 		return planner.ErrFenced
 	}
-	e.fence = max(e.fence, o.Fence)
+	e.highestFence = max(e.highestFence, o.Fence)
 	e.loaded = o.Target
 	e.Loads++
 	return nil
 }
 
-// Token is the text of a token: the same for every engine and attempt, so that
-// an answer can be checked whole.
+// Token returns the text of a token. It is the same for every engine and attempt, so that tests can
+// check a complete answer.
 func Token(prompt string, index int) string {
 	return fmt.Sprintf("t%d-%x ", index, uint16(xxhash.Sum64String(prompt))+uint16(index))
 }
 
-// Answer is the whole text of a generation.
+// Answer returns the complete text of a generation.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
--- a/faker/generate.go
+++ b/faker/generate.go
@@ -12,12 +12,12 @@
 	"github.com/sardineward/sardineward/streamer"
 )
 
-// loadEvery is how often frames carry reports.
-const loadEvery = 250 * time.Millisecond
+// loadReportInterval is the minimum time between two frames that carry load reports.
+const loadReportInterval = 250 * time.Millisecond
 
-// Generate implements streamer.Engine in memory.
+// Generate implements streamer.Engine without a network.
 func (f *Fleet) Generate(ctx context.Context, address string, g *streamer.GenerateRequest) (streamer.Frames, error) {
-	e := f.at(address)
+	e := f.engineAt(address)
 	if e == nil || e.Dead() {
 		return nil, streamer.ErrNotSent
 	}
@@ -37,12 +37,13 @@
 	return s, nil
 }
 
-func (f *Fleet) at(address string) *Engine {
+func (f *Fleet) engineAt(address string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byAddress[address]
 }
 
+// memoryFrames is the streamer.Frames of Fleet.Generate.
 type memoryFrames struct {
 	frames chan *streamer.Frame
 	ctx    context.Context
@@ -71,25 +72,25 @@
 
 var errDied = errors.New("engine died")
 
-// generate is the first stage's work: it has each token run through all stages
-// and emits a frame for it.
+// generate does the work of the first stage: it runs each token through all stages and emits a
+// frame for it.
 func (e *Engine) generate(ctx context.Context, g *streamer.GenerateRequest, emit func(*streamer.Frame) error) error {
 	e.fleet.mu.Lock()
-	e.fleet.started[g.RequestID]++
+	e.fleet.attempts[g.RequestID]++
 	e.fleet.mu.Unlock()
 	stages := make([]*Engine, len(g.Route))
 	for i, s := range g.Route {
-		if stages[i] = e.fleet.at(s.Address); stages[i] != nil {
-			stages[i].count(1)
-			defer stages[i].count(-1)
+		if stages[i] = e.fleet.engineAt(s.Address); stages[i] != nil {
+			stages[i].addRunning(1)
+			defer stages[i].addRunning(-1)
 		}
 	}
 	e.mu.Lock()
 	dead := e.dead
 	e.mu.Unlock()
-	var told time.Time
+	var lastReport time.Time
 	for i := len(g.Delivered); i < g.MaxTokens; i++ {
-		fr, refusal := e.token(ctx, g, stages, i)
+		fr, refusal := e.generateToken(ctx, g, stages, i)
 		select {
 		case <-dead:
 			return errDied
@@ -98,8 +99,8 @@
 		if refusal != nil {
 			return emit(&streamer.Frame{RequestID: g.RequestID, Attempt: g.Attempt, Index: i, Error: refusal})
 		}
-		if now := time.Now(); now.Sub(told) >= loadEvery {
-			told = now
+		if now := time.Now(); now.Sub(lastReport) >= loadReportInterval {
+			lastReport = now
 			for n, s := range stages {
 				fr.Loads = append(fr.Loads, streamer.StageLoad{Upstream: g.Route[n].Upstream, Load: s.Load()})
 			}
@@ -114,7 +115,8 @@
 	return nil
 }
 
-func (e *Engine) token(ctx context.Context, g *streamer.GenerateRequest, stages []*Engine, i int) (*streamer.Frame, *streamer.EngineError) {
+// generateToken runs token i through all stages, with the latency of the links between them.
+func (e *Engine) generateToken(ctx context.Context, g *streamer.GenerateRequest, stages []*Engine, i int) (*streamer.Frame, *streamer.EngineError) {
 	fr := &streamer.Frame{RequestID: g.RequestID, Attempt: g.Attempt, Index: i, Text: Token(g.Prompt, i)}
 	first := i == len(g.Delivered)
 	at := e.Upstream.DataCentre
@@ -123,19 +125,20 @@
 		if next == nil {
 			return nil, &streamer.EngineError{Kind: streamer.KindUnreachable, Upstream: s.Upstream, Text: "no such engine"}
 		}
-		wait(ctx, e.fleet.latency(at, next.Upstream.DataCentre))
+		sleep(ctx, e.fleet.latency(at, next.Upstream.DataCentre))
 		if refusal := next.run(ctx, g, s, first); refusal != nil {
 			refusal.NotRun = first && n == 0
 			return nil, refusal
 		}
 		at = next.Upstream.DataCentre
-		fr.Spans = append(fr.Spans, next.ran(s.Span))
+		fr.Spans = append(fr.Spans, next.reportedSpan(s.Span))
 	}
-	wait(ctx, e.fleet.latency(at, e.Upstream.DataCentre))
+	sleep(ctx, e.fleet.latency(at, e.Upstream.DataCentre))
 	return fr, nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -147,13 +150,13 @@
 	}
 }
 
-// Handler serves one engine over HTTP.
+// Handler returns the HTTP API of the engine.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.serveGenerate)
-	mux.HandleFunc("GET /v1/load", e.guard(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.Load()) }))
-	mux.HandleFunc("GET /v1/loaded", e.guard(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.Loaded()) }))
-	mux.HandleFunc("POST /v1/order", e.guard(func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET /v1/load", e.withFaults(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.Load()) }))
+	mux.HandleFunc("GET /v1/loaded", e.withFaults(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.Loaded()) }))
+	mux.HandleFunc("POST /v1/order", e.withFaults(func(w http.ResponseWriter, r *http.Request) {
 		var o planner.Order
 		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
@@ -166,10 +169,10 @@
 	return mux
 }
 
-// guard makes a paused engine silent and a dead one break the connection.
-func (e *Engine) guard(h http.HandlerFunc) http.HandlerFunc {
+// withFaults delays a request while the engine is paused, and breaks the connection if it is dead.
+func (e *Engine) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if e.thaw(r.Context()) != nil || e.Dead() {
+		if e.waitWhilePaused(r.Context()) != nil || e.Dead() {
 			panic(http.ErrAbortHandler)
 		}
 		h(w, r)
@@ -179,15 +182,15 @@
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	g := new(streamer.GenerateRequest)
 	if err := json.NewDecoder(r.Body).Decode(g); err != nil || g.Validate() != nil {
-		refuse(w, http.StatusBadRequest, &streamer.EngineError{Kind: streamer.KindInvalid, NotRun: true})
+		writeError(w, http.StatusBadRequest, &streamer.EngineError{Kind: streamer.KindInvalid, NotRun: true})
 		return
 	}
-	if e.thaw(r.Context()) != nil || e.Dead() {
+	if e.waitWhilePaused(r.Context()) != nil || e.Dead() {
 		panic(http.ErrAbortHandler)
 	}
-	if refusal := e.check(g, g.Route[0], true); refusal != nil {
+	if refusal := e.checkStage(g, g.Route[0], true); refusal != nil {
 		refusal.NotRun = true
-		refuse(w, http.StatusServiceUnavailable, refusal)
+		writeError(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
 	enc := json.NewEncoder(w)
@@ -203,7 +206,7 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, e *streamer.EngineError) {
+func writeError(w http.ResponseWriter, status int, e *streamer.EngineError) {
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(e)
 }
--- a/faker/limit.go
+++ b/faker/limit.go
@@ -9,32 +9,35 @@
 )
 
 const (
-	// limitWindow is the time over which requests are counted against a limit.
+	// limitWindow is the length of the sliding window in which requests are counted.
 	limitWindow = 4 * time.Second
-	// limitGrace is how long after a limit was first named it has to be kept, and
-	// toldGrace how long after its first answer that named it a host's requests count.
-	limitGrace = 3 * time.Second
-	toldGrace  = 500 * time.Millisecond
-	// limitFactor times a limit, and limitSlack requests, are allowed in a window.
+	// limitGrace is the time after a limit is first announced in which no violation is reported.
+	// informedGrace is the time after a host's first request under a limit, whose response
+	// announces it, in which its requests are not counted.
+	limitGrace    = 3 * time.Second
+	informedGrace = 500 * time.Millisecond
+	// A window may hold limitFactor times the requests of the limit, plus limitSlack.
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// limits is what a Stage names as its limit.
-type limits struct {
-	// text is the header's value now; empty is no header.
-	text string
-	// named are the limits over time, in order.
-	named []namedLimit
+// limitHistory holds the limit that a Stage announces, and earlier ones.
+type limitHistory struct {
+	// header is the current value of the header; empty means no header.
+	header string
+	// changes holds all limits so far, in order of time.
+	changes []limitChange
 }
 
-type namedLimit struct {
-	from time.Time
-	// perSecond is -1 where none is named, or none that can be read.
+// limitChange is a limit that was announced from a time on.
+type limitChange struct {
+	since time.Time
+	// perSecond is -1 if no limit or an invalid one was announced.
 	perSecond float64
 }
 
-// SetLimit has all answers from now on name a limit; empty ends it.
+// SetLimit makes all later responses announce a limit, which need not be valid; an empty text ends
+// it.
 func (s *Stage) SetLimit(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,32 +45,33 @@
 	if err != nil {
 		perSecond = -1
 	}
-	s.limits.text = text
-	s.limits.named = append(s.limits.named, namedLimit{time.Now(), perSecond})
+	s.limits.header = text
+	s.limits.changes = append(s.limits.changes, limitChange{time.Now(), perSecond})
 }
 
-// name puts the limit into an answer.
-func (s *Stage) name(h http.Header, header string) {
+// setLimitHeader adds the limit, if there is one, to the headers of a response.
+func (s *Stage) setLimitHeader(h http.Header, header string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.limits.text != "" {
-		h.Set(header, s.limits.text)
+	if s.limits.header != "" {
+		h.Set(header, s.limits.header)
 	}
 }
 
-// LimitBreak is a window in which a Stage got more requests than it allows.
+// LimitBreak is a window in which a Stage received more requests than its limit allows.
 type LimitBreak struct {
 	// At is the end of the window.
 	At time.Time
-	// Got are the requests in it of hosts that were told, Allowed those allowed.
+	// Got is the number of requests in the window from hosts that were informed of the limit,
+	// Allowed the number that the limit allows.
 	Got, Allowed int
 	PerSecond    float64
 }
 
-// LimitBreaks lists the windows, each ending with a request, in which the Stage got more
-// requests of hosts that were told of its limit than that allows. The windows of a limit
-// begin a grace after it was first named; where it changed in a window the highest holds.
-// host names the host that a request came from; empty is one that does not count.
+// LimitBreaks returns the windows, each ending with a request, in which hosts that were informed of
+// the limit sent more requests than it allows. Windows that end within limitGrace of the first
+// announcement are skipped. If the limit changed in a window, the highest applies. host returns
+// the name of the host that sent a request, or empty for requests that don't count.
 func (s *Stage) LimitBreaks(host func(one *Seen) string) []LimitBreak {
 	seen := s.Seen()
 	slices.SortStableFunc(seen, func(a, b Seen) int { return a.At.Compare(b.At) })
@@ -75,17 +79,17 @@
 	defer s.mu.Unlock()
 	var out []LimitBreak
 	var counted []time.Time
-	told := make(map[string]time.Time)
+	informed := make(map[string]time.Time)
 	for i := range seen {
 		at, from := seen[i].At, host(&seen[i])
-		since, highest := s.limits.at(at)
+		since, highest := s.limits.inForce(at)
 		if from == "" || since.IsZero() {
 			continue
 		}
-		if told[from].Before(since) {
-			told[from] = at
+		if informed[from].Before(since) {
+			informed[from] = at
 		}
-		if at.Before(told[from].Add(toldGrace)) {
+		if at.Before(informed[from].Add(informedGrace)) {
 			continue
 		}
 		counted = append(counted, at)
@@ -100,11 +104,11 @@
 	return out
 }
 
-// at is since when the limit that is named at a time was named without a break, and the
-// highest of the window that ends then; zero where none is.
-func (l *limits) at(now time.Time) (since time.Time, highest float64) {
-	for i, n := range l.named {
-		if n.from.After(now) {
+// inForce returns the time since which limits have been announced without a break until now, and
+// the highest limit in the window that ends now. Both are zero if no limit is announced.
+func (l *limitHistory) inForce(now time.Time) (since time.Time, highest float64) {
+	for i, n := range l.changes {
+		if n.since.After(now) {
 			break
 		}
 		if n.perSecond < 0 {
@@ -112,9 +116,9 @@
 			continue
 		}
 		if since.IsZero() {
-			since = n.from
+			since = n.since
 		}
-		if i+1 == len(l.named) || l.named[i+1].from.After(now.Add(-limitWindow)) {
+		if i+1 == len(l.changes) || l.changes[i+1].since.After(now.Add(-limitWindow)) {
 			highest = max(highest, n.perSecond)
 		}
 	}
--- a/faker/network.go
+++ b/faker/network.go
@@ -1,6 +1,6 @@
-// Package faker holds small stand-ins for what the system meets: the platform's
-// key-value service and list of hosts, engines, plain services, and a network
-// in memory. Tests, `sardineward dev` and the standin program share them.
+// Package faker provides small fakes of the system's environment: the platform's key-value service
+// and list of hosts, engines, plain services, and an in-memory network. Tests, `sardineward dev`
+// and the standin program use them.
 package faker
 
 import (
@@ -16,55 +16,55 @@
 	"time"
 )
 
-// dialTimeout is how long a dial over a cut link hangs.
+// dialTimeout is the time after which a dial over a cut link fails.
 const dialTimeout = 2 * time.Second
 
-// Network connects listeners and dialers in memory, so that whole hosts run in
-// virtual time. Places (hosts, data centres) can be cut off from each other.
+// Network connects listeners and dialers in memory, so that complete hosts can run in virtual time.
+// Locations, such as hosts and data centres, can be cut off from each other.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	// place is where an address stands, alias a second name of that place;
-	// unlisted ones can't be cut off.
-	place, alias map[string]string
-	cut          map[[2]string]bool
-	conns        map[*conn]bool
+	// locations maps an address to its location, aliases to a second one. An address without
+	// either can't be cut off.
+	locations, aliases map[string]string
+	partitioned        map[[2]string]bool
+	conns              map[*conn]bool
 }
 
 // NewNetwork returns an empty network.
 func NewNetwork() *Network {
 	return &Network{
-		listeners: make(map[string]*listener),
-		place:     make(map[string]string),
-		alias:     make(map[string]string),
-		cut:       make(map[[2]string]bool),
-		conns:     make(map[*conn]bool),
+		listeners:   make(map[string]*listener),
+		locations:   make(map[string]string),
+		aliases:     make(map[string]string),
+		partitioned: make(map[[2]string]bool),
+		conns:       make(map[*conn]bool),
 	}
 }
 
-// Place says where an address stands.
+// Place sets the location of an address.
 func (n *Network) Place(address, place string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.place[address] = place
+	n.locations[address] = place
 }
 
-// Alias gives an address a second place, so that it can be cut off alone.
+// Alias gives an address a second location, so that it can be cut off on its own.
 func (n *Network) Alias(address, place string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.alias[address] = place
+	n.aliases[address] = place
 }
 
-// Cut takes the link between two places away: what is open breaks, what is
-// dialled hangs until its context ends. Mend brings it back.
+// Cut interrupts the link between two locations until Mend. Open connections are closed, and dials
+// fail after dialTimeout or when their context ends.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
-	n.cut[[2]string{a, b}] = true
-	n.cut[[2]string{b, a}] = true
+	n.partitioned[[2]string{a, b}] = true
+	n.partitioned[[2]string{b, a}] = true
 	var broken []*conn
 	for c := range n.conns {
-		if n.isCut(c.from, c.to) {
+		if n.isPartitioned(c.local, c.remote) {
 			broken = append(broken, c)
 		}
 	}
@@ -74,13 +74,12 @@
 	}
 }
 
-// Break closes every connection to or from a place, as a kill of its process
-// does.
+// Break closes every connection to or from a location, as the kill of its process does.
 func (n *Network) Break(place string) {
 	n.mu.Lock()
 	var broken []*conn
 	for c := range n.conns {
-		if slices.Contains(c.from, place) || slices.Contains(c.to, place) {
+		if slices.Contains(c.local, place) || slices.Contains(c.remote, place) {
 			broken = append(broken, c)
 		}
 	}
@@ -90,11 +89,11 @@
 	}
 }
 
-// isCut reports whether any name of one end is cut off from any of the other's.
-func (n *Network) isCut(from, to []string) bool {
+// isPartitioned reports whether any location of one end is cut off from any of the other end's.
+func (n *Network) isPartitioned(from, to []string) bool {
 	for _, a := range from {
 		for _, b := range to {
-			if n.cut[[2]string{a, b}] {
+			if n.partitioned[[2]string{a, b}] {
 				return true
 			}
 		}
@@ -102,27 +101,27 @@
 	return false
 }
 
-// Mend undoes Cut.
+// Mend restores the link between two locations after Cut.
 func (n *Network) Mend(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cut, [2]string{a, b})
-	delete(n.cut, [2]string{b, a})
+	delete(n.partitioned, [2]string{a, b})
+	delete(n.partitioned, [2]string{b, a})
 }
 
-// Listen opens an address.
+// Listen opens a listener on an address.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[address] != nil {
-		return nil, fmt.Errorf("address %s is in use", address)
+		return nil, fmt.Errorf("address %q is already in use", address)
 	}
 	l := &listener{n: n, address: address, accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
 
-// Dialer dials from a place, which may have several names.
+// Dialer returns a dial function for a location, which may have several names.
 func (n *Network) Dialer(from ...string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		return n.dial(ctx, from, address)
@@ -131,12 +130,12 @@
 
 func (n *Network) dial(ctx context.Context, from []string, address string) (net.Conn, error) {
 	n.mu.Lock()
-	to := []string{n.place[address], n.alias[address]}
-	cut := n.isCut(from, to)
+	to := []string{n.locations[address], n.aliases[address]}
+	cut := n.isPartitioned(from, to)
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if cut {
-		wait(ctx, dialTimeout)
+		sleep(ctx, dialTimeout)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
 	if l == nil {
@@ -153,8 +152,8 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	go a.pump()
-	go b.pump()
+	go a.writeLoop()
+	go b.writeLoop()
 	n.mu.Lock()
 	n.conns[a], n.conns[b] = true, true
 	n.mu.Unlock()
@@ -195,8 +194,8 @@
 func (a address) Network() string { return "tcp" }
 func (a address) String() string  { return string(a) }
 
-// Serve answers at an address until the returned function is called, which
-// breaks what is open, as a kill would.
+// Serve runs an HTTP server on an address until kill is called, which closes all connections, as
+// the kill of a process does.
 func Serve(listen func(string) (net.Listener, error), address string, h http.Handler) (kill func(), err error) {
 	l, err := listen(address)
 	if err != nil {
--- a/faker/network_test.go
+++ b/faker/network_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardineward/sardineward/faker"
 )
 
-// TestWriteBeforeRead guards against two ends of a connection that wait for each other
-// to read, which stops virtual time.
+// TestWriteBeforeRead guards against two ends of a connection that each block in a write until the
+// other reads, which stops virtual time.
 func TestWriteBeforeRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -11,66 +11,66 @@
 	"github.com/sardineward/sardineward/storer"
 )
 
-// Platform is the key-value service. The zero value is ready; faults are set
-// while it runs.
+// Platform is an in-memory storer.Store that can be served over HTTP. The zero value is ready to
+// use. Faults can be set at any time.
 type Platform struct {
 	mu      sync.Mutex
 	entries map[string]storer.Entry
 	leases  map[int64]*lease
-	// byLease is the lease that a key goes with.
-	byLease  map[string]int64
-	revision int64
-	ids      int64
-	changed  chan struct{}
-	calls    int64
-	faults   Faults
-	old      map[string]storer.Entry
+	// leaseOfKey maps a key to the lease that it expires with.
+	leaseOfKey map[string]int64
+	revision   int64
+	lastLease  int64
+	changed    chan struct{}
+	calls      int64
+	faults     Faults
+	snapshot   map[string]storer.Entry
 }
 
-// Faults are what a Platform does wrong.
+// Faults are the faults that a Platform simulates; the zero value means none.
 type Faults struct {
-	// Out refuses every call.
+	// Out makes every call fail with storer.ErrUnavailable.
 	Out bool
-	// Delay is added to every call.
+	// Delay is added to the duration of every call.
 	Delay time.Duration
-	// LoseAnswer reports whether the answer to a write that took effect is
-	// lost.
+	// LoseAnswer reports whether the response to a write that took effect is lost, so that Swap
+	// returns storer.ErrUncertain; nil means never.
 	LoseAnswer func(w storer.Write) bool
-	// Stale answers reads from the copy that Remember made.
+	// Stale makes reads return values from the copy that Remember made.
 	Stale bool
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl    time.Duration
+	expiry time.Time
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults and ends the wait of watches, which check them again.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.wakeLocked()
+	p.notifyWatches()
 }
 
-// Remember keeps a copy of everything for Faults.Stale.
+// Remember takes a copy of all entries for Faults.Stale.
 func (p *Platform) Remember() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.old = make(map[string]storer.Entry, len(p.entries))
+	p.snapshot = make(map[string]storer.Entry, len(p.entries))
 	for k, e := range p.entries {
-		p.old[k] = e
+		p.snapshot[k] = e
 	}
 }
 
-// Calls returns how many calls were made, a waiting watch as one.
+// Calls returns the number of calls made; a watch counts once, however long it waits.
 func (p *Platform) Calls() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// Keys returns how many keys have a value, and how many bytes they are.
+// Keys returns the number of keys that have a value, and the total size of the values in bytes.
 func (p *Platform) Keys() (keys, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,10 +80,11 @@
 	return len(p.entries), bytes
 }
 
-var errLost = errors.New("answer lost")
+// errMissingWrite means that a swap request has no write.
+var errMissingWrite = errors.New("swap request has no write")
 
-// enter counts a call and applies the faults that come before it.
-func (p *Platform) enter(ctx context.Context) error {
+// beginCall counts a call and applies the faults that precede its effect.
+func (p *Platform) beginCall(ctx context.Context) error {
 	p.mu.Lock()
 	p.calls++
 	f := p.faults
@@ -101,45 +102,48 @@
 	return nil
 }
 
-func (p *Platform) init() {
+// lazyInit creates the maps on first use; p.mu is held.
+func (p *Platform) lazyInit() {
 	if p.entries == nil {
 		p.entries = make(map[string]storer.Entry)
 		p.leases = make(map[int64]*lease)
-		p.byLease = make(map[string]int64)
+		p.leaseOfKey = make(map[string]int64)
 		p.changed = make(chan struct{})
 	}
 }
 
-func (p *Platform) wakeLocked() {
-	p.init()
+// notifyWatches wakes all waiting watches; p.mu is held.
+func (p *Platform) notifyWatches() {
+	p.lazyInit()
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// lapse drops leases that are over.
-func (p *Platform) lapse() {
+// expireLeases removes expired leases and their keys; p.mu is held.
+func (p *Platform) expireLeases() {
 	now := time.Now()
 	for id, l := range p.leases {
-		if !l.until.After(now) {
-			p.end(id)
+		if !l.expiry.After(now) {
+			p.endLease(id)
 		}
 	}
 }
 
-func (p *Platform) end(id int64) {
+// endLease removes a lease and its keys; p.mu is held.
+func (p *Platform) endLease(id int64) {
 	delete(p.leases, id)
-	for k, l := range p.byLease {
+	for k, l := range p.leaseOfKey {
 		if l == id {
-			delete(p.byLease, k)
+			delete(p.leaseOfKey, k)
 			delete(p.entries, k)
-			p.wakeLocked()
+			p.notifyWatches()
 		}
 	}
 }
 
 // Get implements storer.Store.
 func (p *Platform) Get(ctx context.Context, key string) (storer.Entry, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return storer.Entry{}, err
 	}
 	p.mu.Lock()
@@ -148,11 +152,11 @@
 }
 
 func (p *Platform) get(key string) (storer.Entry, error) {
-	p.init()
-	p.lapse()
+	p.lazyInit()
+	p.expireLeases()
 	from := p.entries
-	if p.faults.Stale && p.old != nil {
-		from = p.old
+	if p.faults.Stale && p.snapshot != nil {
+		from = p.snapshot
 	}
 	e, ok := from[key]
 	if !ok {
@@ -163,7 +167,7 @@
 
 // Swap implements storer.Store.
 func (p *Platform) Swap(ctx context.Context, w storer.Write) (int64, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
@@ -176,8 +180,8 @@
 }
 
 func (p *Platform) swap(w storer.Write) (int64, error) {
-	p.init()
-	p.lapse()
+	p.lazyInit()
+	p.expireLeases()
 	switch {
 	case len(w.Value) > storer.MaxValueBytes:
 		return 0, storer.ErrTooLarge
@@ -186,8 +190,8 @@
 	case w.Lease != 0 && p.leases[w.Lease] == nil:
 		return 0, storer.ErrLease
 	}
-	defer p.wakeLocked()
-	delete(p.byLease, w.Key)
+	defer p.notifyWatches()
+	delete(p.leaseOfKey, w.Key)
 	if w.Delete {
 		delete(p.entries, w.Key)
 		return 0, nil
@@ -195,14 +199,14 @@
 	p.revision++
 	p.entries[w.Key] = storer.Entry{Key: w.Key, Value: w.Value, Revision: p.revision}
 	if w.Lease != 0 {
-		p.byLease[w.Key] = w.Lease
+		p.leaseOfKey[w.Key] = w.Lease
 	}
 	return p.revision, nil
 }
 
 // Watch implements storer.Store.
 func (p *Platform) Watch(ctx context.Context, key string, after int64) (storer.Entry, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return storer.Entry{}, err
 	}
 	for {
@@ -227,47 +231,47 @@
 
 // Grant implements storer.Store.
 func (p *Platform) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.init()
-	p.ids++
-	p.leases[p.ids] = &lease{ttl, time.Now().Add(ttl)}
-	return p.ids, nil
+	p.lazyInit()
+	p.lastLease++
+	p.leases[p.lastLease] = &lease{ttl, time.Now().Add(ttl)}
+	return p.lastLease, nil
 }
 
 // KeepAlive implements storer.Store.
 func (p *Platform) KeepAlive(ctx context.Context, id int64) error {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.init()
-	p.lapse()
+	p.lazyInit()
+	p.expireLeases()
 	l := p.leases[id]
 	if l == nil {
 		return storer.ErrLease
 	}
-	l.until = time.Now().Add(l.ttl)
+	l.expiry = time.Now().Add(l.ttl)
 	return nil
 }
 
 // Revoke implements storer.Store.
 func (p *Platform) Revoke(ctx context.Context, id int64) error {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.init()
-	p.end(id)
+	p.lazyInit()
+	p.endLease(id)
 	return nil
 }
 
-// Handler serves the platform to storer.Client.
+// Handler returns the HTTP API that storer.Client calls.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	serve := func(method string, f func(ctx context.Context, in storer.Request) (storer.Response, error)) {
@@ -295,7 +299,7 @@
 	})
 	serve("swap", func(ctx context.Context, in storer.Request) (storer.Response, error) {
 		if in.Write == nil {
-			return storer.Response{}, errLost
+			return storer.Response{}, errMissingWrite
 		}
 		rev, err := p.Swap(ctx, *in.Write)
 		return storer.Response{Revision: rev}, err
--- a/faker/service.go
+++ b/faker/service.go
@@ -11,33 +11,33 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// Service is a plain service: its instances share one ledger of what ran.
+// Service is a plain service. Its instances share one record of the calls that were executed.
 type Service struct {
 	mu sync.Mutex
-	// delay is how long a call takes.
+	// delay is the duration of a call.
 	delay time.Duration
-	// runs counts calls that may not be repeated, by their key.
+	// runs counts calls other than GET, by idempotency key.
 	runs map[string]int
-	// requests counts all calls by request id.
-	requests map[string]int
-	fail     func(r *http.Request) bool
+	// requests counts all calls, by request id.
+	requests     map[string]int
+	dropResponse func(r *http.Request) bool
 }
 
-// SetDelay sets how long a call takes.
+// SetDelay sets the duration of a call.
 func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Runs returns how often a call ran under a key.
+// Runs returns how often a call was executed with an idempotency key.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// AllRuns returns how often each key ran.
+// AllRuns returns how often a call was executed with each idempotency key.
 func (s *Service) AllRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,14 +48,14 @@
 	return out
 }
 
-// Requests returns how often a request id arrived.
+// Requests returns the number of calls received with a request id.
 func (s *Service) Requests(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests[id]
 }
 
-// Total returns how many calls arrived.
+// Total returns the number of calls received.
 func (s *Service) Total() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,25 +66,26 @@
 	return n
 }
 
-// FailWhen breaks the connection after the call ran, when f says so.
+// FailWhen makes calls for which f returns true break the connection after they were executed; nil
+// means none.
 func (s *Service) FailWhen(f func(r *http.Request) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fail = f
+	s.dropResponse = f
 }
 
-// Handler serves one instance.
+// Handler returns the HTTP API of one instance, whose incarnation is the current time.
 func (s *Service) Handler() http.Handler {
 	started := time.Now().UnixMilli()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(tracker.Load{Incarnation: started})
 	})
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.serveCall)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -98,65 +99,67 @@
 	if r.Method != http.MethodGet {
 		s.runs[key]++
 	}
-	fail, delay := s.fail, s.delay
+	dropResponse, delay := s.dropResponse, s.delay
 	s.mu.Unlock()
 	time.Sleep(delay)
-	if fail != nil && fail(r) {
+	if dropResponse != nil && dropResponse(r) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(map[string]any{"path": r.URL.Path, "key": key, "bytes": len(body)})
 }
 
-// HostList is the platform's list of hosts, which lags.
+// HostList is the platform's list of hosts. Changes become visible after a delay.
 type HostList struct {
-	// Lag is how long a change takes to show.
+	// Lag is the time until a change becomes visible.
 	Lag time.Duration
 
 	mu      sync.Mutex
-	listed  map[string]prober.ListedHost
-	changes []change
+	hosts   map[string]prober.ListedHost
+	changes []hostChange
 }
 
-type change struct {
-	at   time.Time
-	line prober.ListedHost
+// hostChange is a host's new state, visible from a time on.
+type hostChange struct {
+	visibleAt time.Time
+	host      prober.ListedHost
 }
 
-// Set changes a line.
-func (l *HostList) Set(line prober.ListedHost) {
+// Set adds or replaces a host.
+func (l *HostList) Set(host prober.ListedHost) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, change{time.Now().Add(l.Lag), line})
+	l.changes = append(l.changes, hostChange{time.Now().Add(l.Lag), host})
 }
 
-// Handler serves the list.
+// Handler returns the HTTP API of the list.
 func (l *HostList) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/hosts", func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(l.shown())
+		json.NewEncoder(w).Encode(l.visible())
 	})
 	return mux
 }
 
-func (l *HostList) shown() []prober.ListedHost {
+// visible returns the hosts with all changes that have become visible.
+func (l *HostList) visible() []prober.ListedHost {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.listed == nil {
-		l.listed = make(map[string]prober.ListedHost)
+	if l.hosts == nil {
+		l.hosts = make(map[string]prober.ListedHost)
 	}
-	var later []change
+	var later []hostChange
 	for _, c := range l.changes {
-		if c.at.After(time.Now()) {
+		if c.visibleAt.After(time.Now()) {
 			later = append(later, c)
 			continue
 		}
-		l.listed[c.line.Name] = c.line
+		l.hosts[c.host.Name] = c.host
 	}
 	l.changes = later
-	out := make([]prober.ListedHost, 0, len(l.listed))
-	for _, line := range l.listed {
-		out = append(out, line)
+	out := make([]prober.ListedHost, 0, len(l.hosts))
+	for _, host := range l.hosts {
+		out = append(out, host)
 	}
 	return out
 }
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -14,62 +14,61 @@
 	"github.com/sardineward/sardineward/forwarder"
 )
 
-// Trouble is what a Stage does with a request.
+// Trouble is the fault that a Stage applies to a request.
 type Trouble int
 
-// The troubles of a Stage.
+// Faults of a Stage.
 const (
-	// TroubleNone answers.
+	// TroubleNone answers normally.
 	TroubleNone Trouble = iota
-	// TroubleFull turns the request away as not run.
+	// TroubleFull refuses the request as not executed.
 	TroubleFull
-	// TroubleReset runs it and breaks the connection.
+	// TroubleReset executes the request and breaks the connection.
 	TroubleReset
-	// TroubleFailed runs it and answers status 500.
+	// TroubleFailed executes the request and responds with status 500.
 	TroubleFailed
-	// TroubleForeign answers another request first.
+	// TroubleForeign sends a response to another request before the right one.
 	TroubleForeign
-	// TroubleUnsigned answers without the signature.
+	// TroubleUnsigned responds without the signature in the header Stamp.
 	TroubleUnsigned
-	// TroubleCut breaks a stream off in the middle of its third event.
+	// TroubleCut breaks the connection in the middle of the third event of a stream.
 	TroubleCut
-	// TroubleSilent runs it and never answers.
+	// TroubleSilent executes the request and never responds.
 	TroubleSilent
 )
 
-// Stage is an upstream that speaks Headers: it answers plain
-// requests, and streams events over the layers that its path names. It is also
-// a launcher.Engines for one whose address it has.
+// Stage is a fake upstream that implements http.Handler. It streams events for paths below
+// /stream/ and answers all other requests with a short text. Exported fields are set before use.
 type Stage struct {
 	ID string
-	// Headers are the names it speaks; nil means forwarder.DefaultHeaders.
+	// Headers holds the header names that it uses; nil means forwarder.DefaultHeaders.
 	Headers *forwarder.Headers
-	// Events is how many a stream has, Gap the time between two.
+	// Events is the number of events in a stream, Gap the time before each of them.
 	Events int
 	Gap    time.Duration
-	// Answer is how long a plain answer takes.
+	// Answer is the time before a response that is not a stream.
 	Answer time.Duration
-	// Crash is called, by itself, when a request comes whose body is Poison; nil
-	// answers it like any other.
+	// Crash is called in its own goroutine for a request whose body contains Poison; nil means
+	// that such a request is answered like any other.
 	Crash func()
 
-	mu       sync.Mutex
-	limits   limits
-	troubles []Trouble
-	seen     []Seen
-	gone     int
+	mu        sync.Mutex
+	limits    limitHistory
+	faults    []Trouble
+	received  []Seen
+	abandoned int
 }
 
-// Seen is a request as a Stage got it.
+// Seen is a request as a Stage received it.
 type Seen struct {
 	RequestID, Workspace, Path, Key, Target, Body string
 	LastEventID                                   string
 	DeadlineMs                                    int
-	// Ran is false where it was turned away.
+	// Ran is false if the request was refused as not executed.
 	Ran bool
-	// From is where it came from, in a Network the place that dialled.
+	// From is the address of the sender, in a Network the location that dialled.
 	From string
-	// At is when it came.
+	// At is the time at which it was received.
 	At time.Time
 }
 
@@ -80,21 +79,21 @@
 	return &forwarder.DefaultHeaders
 }
 
-// Trouble sets what becomes of the next requests, one each.
+// Trouble sets the faults of the next requests, one for each request.
 func (s *Stage) Trouble(list ...Trouble) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubles = list
+	s.faults = list
 }
 
-// Seen lists the requests that came, in order.
+// Seen returns all requests received, in order.
 func (s *Stage) Seen() []Seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Seen(nil), s.seen...)
+	return append([]Seen(nil), s.received...)
 }
 
-// Runs counts how often requests with an id ran.
+// Runs returns how often a request with an id was executed.
 func (s *Stage) Runs(id string) int {
 	n := 0
 	for _, one := range s.Seen() {
@@ -105,23 +104,24 @@
 	return n
 }
 
-// Gone counts callers that went away before their answer.
+// Gone returns the number of callers that disconnected before the end of their response.
 func (s *Stage) Gone() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gone
+	return s.abandoned
 }
 
-func (s *Stage) next(r *http.Request, body string) Trouble {
+// receive records a request and returns the fault to apply to it.
+func (s *Stage) receive(r *http.Request, body string) Trouble {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := TroubleNone
-	if len(s.troubles) > 0 {
-		t, s.troubles = s.troubles[0], s.troubles[1:]
+	if len(s.faults) > 0 {
+		t, s.faults = s.faults[0], s.faults[1:]
 	}
 	h := s.headers()
 	left, _ := strconv.Atoi(r.Header.Get(h.DeadlineMs))
-	s.seen = append(s.seen, Seen{
+	s.received = append(s.received, Seen{
 		RequestID:   r.Header.Get(h.RequestID),
 		Workspace:   r.Header.Get(h.Workspace),
 		Path:        r.Header.Get(h.Path),
@@ -144,7 +144,7 @@
 	if _, err := bufio.NewReader(r.Body).WriteTo(body); err != nil {
 		return
 	}
-	t := s.next(r, body.String())
+	t := s.receive(r, body.String())
 	if s.Crash != nil && strings.Contains(body.String(), Poison) {
 		go s.Crash()
 		<-r.Context().Done()
@@ -155,7 +155,7 @@
 		w.Header().Set(h.Stamp, "stamp-"+s.ID)
 	}
 	w.Header().Set(h.Load, "1,0,8")
-	s.name(w.Header(), h.Limit)
+	s.setLimitHeader(w.Header(), h.Limit)
 	switch t {
 	case TroubleFull:
 		w.Header().Set(h.NotRun, "1")
@@ -163,39 +163,40 @@
 	case TroubleReset:
 		panic(http.ErrAbortHandler)
 	case TroubleSilent:
-		s.leave(r)
+		s.waitForDisconnect(r)
 	case TroubleFailed:
 		http.Error(w, "failed", http.StatusInternalServerError)
 	case TroubleForeign:
-		s.foreign(w, r)
+		s.serveWrongResponse(w, r)
 	default:
 		if strings.HasPrefix(r.URL.Path, "/stream/") {
-			s.stream(w, r, t)
+			s.serveStream(w, r, t)
 			return
 		}
-		s.plain(w, r)
+		s.servePlain(w, r)
 	}
 }
 
-func (s *Stage) leave(r *http.Request) {
+// waitForDisconnect waits until the caller disconnects and counts that.
+func (s *Stage) waitForDisconnect(r *http.Request) {
 	<-r.Context().Done()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone++
+	s.abandoned++
 }
 
-func (s *Stage) plain(w http.ResponseWriter, r *http.Request) {
+func (s *Stage) servePlain(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-r.Context().Done():
-		s.leave(r)
+		s.waitForDisconnect(r)
 		return
 	case <-time.After(s.Answer):
 	}
 	_, _ = fmt.Fprintf(w, "answer of %s to %s", s.ID, r.Header.Get(s.headers().RequestID))
 }
 
-// foreign writes a late answer to another request before the one to this.
-func (s *Stage) foreign(w http.ResponseWriter, r *http.Request) {
+// serveWrongResponse writes a late response to another request before the response to this one.
+func (s *Stage) serveWrongResponse(w http.ResponseWriter, r *http.Request) {
 	id := s.headers().RequestID
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -210,14 +211,15 @@
 	_ = buf.Flush()
 }
 
-func (s *Stage) stream(w http.ResponseWriter, r *http.Request, t Trouble) {
+// serveStream streams the events after the one that Last-Event-Id names.
+func (s *Stage) serveStream(w http.ResponseWriter, r *http.Request, t Trouble) {
 	ctl := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for n := from + 1; n <= s.Events; n++ {
 		select {
 		case <-r.Context().Done():
-			s.leave(r)
+			s.waitForDisconnect(r)
 			return
 		case <-time.After(s.Gap):
 		}
@@ -231,7 +233,7 @@
 	}
 }
 
-// NoEngines is a launcher.Engines for fleets that take no orders.
+// NoEngines is a launcher.Engines whose upstreams accept no orders and report nothing.
 type NoEngines struct{}
 
 // Place implements orderer.Engines.
@@ -241,7 +243,7 @@
 func (NoEngines) OrderCount(context.Context, string) (int64, error) { return 0, nil }
 
 // Repath implements forwarder.Engines.
-func (NoEngines) Repath(context.Context, string, []balancer.Hop) error { return errAway }
+func (NoEngines) Repath(context.Context, string, []balancer.Hop) error { return errUnavailable }
 
 // Pace implements pacer.Engines.
 func (NoEngines) Pace(context.Context, string) (float64, error) { return 1, nil }
--- a/faker/world.go
+++ b/faker/world.go
@@ -10,30 +10,31 @@
 	"github.com/sardineward/sardineward/builder"
 )
 
-// World is everything outside the system: platform, list of hosts, engines and
-// plain services. The fields are set before Start.
+// World is the complete environment of the system: platform, list of hosts, engines and plain
+// services. Configuration, Listen and the addresses are set before Start, which sets the others.
 type World struct {
 	Configuration *builder.Configuration
-	// Listen opens addresses.
+	// Listen opens a listener on an address.
 	Listen func(address string) (net.Listener, error)
-	// Platform and HostList are the addresses of the platform's services.
+	// PlatformAddress and HostListAddress are the addresses of the platform's services; a service
+	// without an address is not served.
 	PlatformAddress, HostListAddress string
 
 	Platform *Platform
 	HostList *HostList
 	Fleet    *Fleet
-	// Services are the plain services by name.
+	// Services maps names to plain services.
 	Services map[string]*Service
 
-	kills map[string]func()
+	killFuncs map[string]func()
 }
 
-// Start serves everything until Close.
+// Start serves the environment until Close.
 func (w *World) Start() error {
 	w.Platform, w.HostList = new(Platform), new(HostList)
 	w.Fleet = NewFleet(w.Configuration)
 	w.Services = make(map[string]*Service)
-	w.kills = make(map[string]func())
+	w.killFuncs = make(map[string]func())
 	if err := w.serve("platform", w.PlatformAddress, w.Platform.Handler()); err != nil {
 		return err
 	}
@@ -57,6 +58,7 @@
 	return nil
 }
 
+// address returns the address of an upstream, or empty if there is none.
 func (w *World) address(upstream string) string {
 	for _, u := range w.Configuration.Upstreams {
 		if u.Name == upstream {
@@ -72,25 +74,25 @@
 	}
 	kill, err := Serve(w.Listen, address, h)
 	if err != nil {
-		return fmt.Errorf("serving %s: %w", name, err)
+		return fmt.Errorf("serving %q: %w", name, err)
 	}
-	w.kills[name] = kill
+	w.killFuncs[name] = kill
 	return nil
 }
 
-// Kill ends an upstream's process: its connections break and later ones are
+// Kill simulates the end of an upstream's process: its connections are closed and new ones are
 // refused.
 func (w *World) Kill(name string) {
 	if e := w.Fleet.Engine(name); e != nil {
 		e.Kill()
 	}
-	if kill := w.kills[name]; kill != nil {
+	if kill := w.killFuncs[name]; kill != nil {
 		kill()
-		delete(w.kills, name)
+		delete(w.killFuncs, name)
 	}
 }
 
-// Restart starts an upstream anew, with a newer incarnation.
+// Restart kills an upstream and starts it with a newer incarnation.
 func (w *World) Restart(name string) error {
 	w.Kill(name)
 	if e := w.Fleet.Engine(name); e != nil {
@@ -104,21 +106,22 @@
 			}
 		}
 	}
-	return fmt.Errorf("no upstream %s", name)
+	return fmt.Errorf("upstream %q does not exist", name)
 }
 
-// Close ends everything.
+// Close kills all engines and closes all servers.
 func (w *World) Close() {
 	w.Fleet.Close()
-	for _, kill := range w.kills {
+	for _, kill := range w.killFuncs {
 		kill()
 	}
-	w.kills = nil
+	w.killFuncs = nil
 }
 
-// Control serves the faults to a person or a script:
+// Control returns an HTTP API that injects faults:
 // POST /v1/NAME/kill, restart, pause, resume or leave, and
 // POST /v1/platform with {"out":true,"delayMs":2000}.
+// GET /v1/runs/SERVICE returns how often each idempotency key of a service was executed.
 func (w *World) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/platform", func(rw http.ResponseWriter, r *http.Request) {
@@ -145,8 +148,8 @@
 	return mux
 }
 
-func (w *World) control(name, what string) error {
-	switch what {
+func (w *World) control(name, action string) error {
+	switch action {
 	case "kill":
 		w.Kill(name)
 		return nil
@@ -155,9 +158,9 @@
 	}
 	e := w.Fleet.Engine(name)
 	if e == nil {
-		return fmt.Errorf("no engine %s", name)
+		return fmt.Errorf("engine %q does not exist", name)
 	}
-	switch what {
+	switch action {
 	case "pause":
 		e.Pause()
 	case "resume":
@@ -165,7 +168,7 @@
 	case "leave":
 		e.Leave()
 	default:
-		return fmt.Errorf("can't %s", what)
+		return fmt.Errorf("unknown action %q, expected kill, restart, pause, resume or leave", action)
 	}
 	return nil
 }
