--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -59,7 +59,7 @@
 			RetryRatio: 0.2, RetryFixed: 50, RetryWindowS: 10, RevokeMs: 5000, BalancerMs: 100, StopMs: 7500,
 		},
 		Store: new(faker.Platform), Source: source, Engines: faker.NoEngines{}, Headers: forwarder.DefaultHeaders,
-		ReadyPath: "/ready", Now: bootTime, Dropped: out.Dropped, Log: out.Start(),
+		ReadyPath: "/ready", Now: bootTime, DroppedLogLines: out.Dropped, Log: out.Start(),
 	}
 	return h.Run(ctx)
 }
--- a/cmd/sardineward/forward.go
+++ b/cmd/sardineward/forward.go
@@ -44,15 +44,15 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	store := &platform.Store{Address: cfg.Platform, HTTP: client, Timeout: storeTimeout, Log: log}
 	h := &launcher.Host{
-		Settings:  cfg,
-		Store:     store,
-		Source:    &platform.Source{Store: store, Self: cfg.Host, Log: log},
-		Engines:   &platform.Engines{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
-		Headers:   platform.Headers,
-		ReadyPath: platform.ReadyPath,
-		Now:       bootTime,
-		Dropped:   out.Dropped,
-		Log:       log,
+		Settings:        cfg,
+		Store:           store,
+		Source:          &platform.Source{Store: store, Self: cfg.Host, Log: log},
+		Engines:         &platform.Engines{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
+		Headers:         platform.Headers,
+		ReadyPath:       platform.ReadyPath,
+		Now:             bootTime,
+		DroppedLogLines: out.Dropped,
+		Log:             log,
 	}
 	return h.Run(ctx)
 }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -79,9 +79,9 @@
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	// Seed makes random choices repeatable; 0 draws a random seed.
 	Seed uint64
-	// Dropped returns the number of log lines that were not written; nil if none are ever dropped.
-	Dropped func() float64
-	Log     zerolog.Logger
+	// DroppedLogLines returns the number of log lines that were not written; nil if none are ever dropped.
+	DroppedLogLines func() float64
+	Log             zerolog.Logger
 
 	balancer  *balancer.Balancer
 	follower  *follower.Follower
@@ -276,8 +276,8 @@
 	m.GaugeFunc("limits_in_force", "Upstreams that name a limit in their answers.", func() float64 { return float64(h.balancer.LimitCount()) })
 	m.CounterFunc("limited_requests_sent_total", "Requests sent to upstreams while they named a limit.", func() float64 { return float64(h.balancer.LimitedSentCount()) })
 	m.CounterFunc("limited_requests_held_off_total", "Requests that did not go to an upstream since its limit had no room.", func() float64 { return float64(h.balancer.ThrottledCount()) })
-	if h.Dropped != nil {
-		m.CounterFunc("log_lines_dropped_total", "Log lines that were too many, or whose reader was too slow.", h.Dropped)
+	if h.DroppedLogLines != nil {
+		m.CounterFunc("log_lines_dropped_total", "Log lines that were too many, or whose reader was too slow.", h.DroppedLogLines)
 	}
 	m.CounterFunc("connections_opened_total", "Connections made to upstreams.", func() float64 { return float64(h.connectionsOpened.Load()) })
 }
