--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -29,7 +29,7 @@
 // restoreFleet is a fleet whose hosts follow a store that can be restored from a copy.
 type restoreFleet struct {
 	*fleet
-	store *platform.StandIn
+	store *platform.FakeServer
 	// leftAt is the time at which an upstream's leave was acknowledged, by upstream id.
 	leftAt map[string]time.Time
 }
@@ -39,7 +39,7 @@
 func runRestoreFleet(t *testing.T, hosts int, f func(is *is.I, r *restoreFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &restoreFleet{fleet: newFleet(t), store: new(platform.StandIn), leftAt: make(map[string]time.Time)}
+		r := &restoreFleet{fleet: newFleet(t), store: new(platform.FakeServer), leftAt: make(map[string]time.Time)}
 		cfg := configuration()
 		r.store.Configure(&cfg)
 		stop, err := faker.Serve(r.net.Listen, storeAddress, r.store)
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -56,7 +56,7 @@
 	binary    string
 	hosts     []*host
 	upstreams []*upstream
-	store     *platform.StandIn
+	store     *platform.FakeServer
 	server    *http.Server
 
 	// nextPort is the next port to try to listen on.
@@ -128,7 +128,7 @@
 
 // newCluster starts the store and the upstreams, and prepares the hosts, which start starts.
 func newCluster(dir, binary string, hosts int, seed uint64) (*cluster, error) {
-	c := &cluster{dir: dir, binary: binary, store: new(platform.StandIn), nextPort: firstPort + int(seed%portBlocks)*portsPerRun}
+	c := &cluster{dir: dir, binary: binary, store: new(platform.FakeServer), nextPort: firstPort + int(seed%portBlocks)*portsPerRun}
 	all := make([]string, keyCount)
 	for n := range all {
 		all[n] = keyName(n)
