--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -97,7 +97,7 @@
 	if _, left := r.leftAt[id]; left {
 		return false
 	}
-	r.store.List(r.entry(id, dataCentre, false))
+	r.store.PutUpstream(r.entry(id, dataCentre, false))
 	return true
 }
 
@@ -105,7 +105,7 @@
 func (r *restoreFleet) leave(id, dataCentre string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.store.List(r.entry(id, dataCentre, true))
+	r.store.PutUpstream(r.entry(id, dataCentre, true))
 	r.leftAt[id] = time.Now()
 }
 
@@ -126,7 +126,7 @@
 // advanceRevision raises the store's revision beyond any that hosts know.
 func (r *restoreFleet) advanceRevision() {
 	for range 100 {
-		r.store.List(r.entry("desk-b", "b", false))
+		r.store.PutUpstream(r.entry("desk-b", "b", false))
 	}
 }
 
@@ -168,8 +168,8 @@
 			r.store.Restore(c)
 			r.store.SetAway(false)
 			time.Sleep(1800 * time.Millisecond)
-			r.store.List(r.entry("desk-a", "a", true))
-			r.store.List(r.entry("desk-c", "c", true))
+			r.store.PutUpstream(r.entry("desk-a", "a", true))
+			r.store.PutUpstream(r.entry("desk-c", "c", true))
 		}},
 		{"two hosts cut off from the store", func(r *restoreFleet, copyAge time.Duration) {
 			for _, h := range r.hosts[:min(2, len(r.hosts)-1)] {
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -378,7 +378,7 @@
 	entry := u.Upstream
 	entry.Leaving = true
 	r.history.mu.Lock()
-	r.cluster.store.List(entry)
+	r.cluster.store.PutUpstream(entry)
 	r.history.leftAt[u.ID] = time.Now()
 	r.history.mu.Unlock()
 	r.recordFault("leave "+u.ID, -1, 0, true)
@@ -501,6 +501,6 @@
 	for _, u := range r.cluster.upstreams {
 		entry := u.Upstream
 		_, entry.Leaving = r.history.leftAt[u.ID]
-		r.cluster.store.List(entry)
+		r.cluster.store.PutUpstream(entry)
 	}
 }
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -193,7 +193,7 @@
 		return err
 	}
 	c.upstreams = append(c.upstreams, u)
-	c.store.List(u.Upstream)
+	c.store.PutUpstream(u.Upstream)
 	return nil
 }
 
