--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -114,13 +114,13 @@
 func (r *restoreFleet) restore(age time.Duration, meanwhile func()) {
 	c := r.store.Copy()
 	time.Sleep(age)
-	r.store.SetAway(true)
+	r.store.SetUnavailable(true)
 	time.Sleep(1500 * time.Millisecond)
 	r.store.Restore(c)
 	if meanwhile != nil {
 		meanwhile()
 	}
-	r.store.SetAway(false)
+	r.store.SetUnavailable(false)
 }
 
 // advanceRevision raises the store's revision beyond any that hosts know.
@@ -163,10 +163,10 @@
 			r.leave("desk-a", "a")
 			r.leave("desk-c", "c")
 			time.Sleep(copyAge)
-			r.store.SetAway(true)
+			r.store.SetUnavailable(true)
 			time.Sleep(1500 * time.Millisecond)
 			r.store.Restore(c)
-			r.store.SetAway(false)
+			r.store.SetUnavailable(false)
 			time.Sleep(1800 * time.Millisecond)
 			r.store.PutUpstream(r.entry("desk-a", "a", true))
 			r.store.PutUpstream(r.entry("desk-c", "c", true))
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -466,10 +466,10 @@
 	time.Sleep(lasts)
 	outage := time.Duration(200+rnd.IntN(1300)) * time.Millisecond
 	r.recordFault(restoreFault, -1, outage, false)
-	r.cluster.store.SetAway(true)
+	r.cluster.store.SetUnavailable(true)
 	time.Sleep(outage)
 	r.cluster.store.Restore(snapshot)
-	r.cluster.store.SetAway(false)
+	r.cluster.store.SetUnavailable(false)
 	r.cluster.updateConfiguration(func(*matcher.Configuration) {})
 	r.writeEntries()
 	time.Sleep(time.Duration(rnd.IntN(500)) * time.Millisecond)
