--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -112,7 +112,7 @@
 // restore makes the store unreachable for 1.5 s and restores it from a copy of the given age.
 // meanwhile, if not nil, is called after the restore, before any host can reach the store.
 func (r *restoreFleet) restore(age time.Duration, meanwhile func()) {
-	c := r.store.Copy()
+	c := r.store.Snapshot()
 	time.Sleep(age)
 	r.store.SetUnavailable(true)
 	time.Sleep(1500 * time.Millisecond)
@@ -159,7 +159,7 @@
 			r.leave("desk-c", "c")
 		}},
 		{"leave before the restore, lost and written again", func(r *restoreFleet, copyAge time.Duration) {
-			c := r.store.Copy()
+			c := r.store.Snapshot()
 			r.leave("desk-a", "a")
 			r.leave("desk-c", "c")
 			time.Sleep(copyAge)
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -462,7 +462,7 @@
 		return
 	}
 	defer r.restoring.Unlock()
-	snapshot := r.cluster.store.Copy()
+	snapshot := r.cluster.store.Snapshot()
 	time.Sleep(lasts)
 	outage := time.Duration(200+rnd.IntN(1300)) * time.Millisecond
 	r.recordFault(restoreFault, -1, outage, false)
