--- a/cmd/sardineward/dev.go
+++ b/cmd/sardineward/dev.go
@@ -29,7 +29,7 @@
 func dev(port int) error {
 	address := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", port+n) }
 	cfg := devConfiguration(address)
-	w := &faker.World{
+	w := &faker.Environment{
 		Configuration:   cfg,
 		Listen:          listen,
 		PlatformAddress: address(3),
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -44,7 +44,7 @@
 	listen := func(address string) (net.Listener, error) {
 		return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	}
-	w := &faker.World{Configuration: cfg, Listen: listen, PlatformAddress: platform, HostListAddress: hosts}
+	w := &faker.Environment{Configuration: cfg, Listen: listen, PlatformAddress: platform, HostListAddress: hosts}
 	if err := w.Start(); err != nil {
 		return err
 	}
--- a/faker/world.go
+++ b/faker/world.go
@@ -10,9 +10,9 @@
 	"github.com/sardineward/sardineward/builder"
 )
 
-// World is the complete environment of the system: platform, list of hosts, engines and plain
+// Environment is the complete environment of the system: platform, list of hosts, engines and plain
 // services. Configuration, Listen and the addresses are set before Start, which sets the others.
-type World struct {
+type Environment struct {
 	Configuration *builder.Configuration
 	// Listen opens a listener on an address.
 	Listen func(address string) (net.Listener, error)
@@ -30,7 +30,7 @@
 }
 
 // Start serves the environment until Close.
-func (w *World) Start() error {
+func (w *Environment) Start() error {
 	w.Platform, w.HostList = new(Platform), new(HostList)
 	w.Fleet = NewFleet(w.Configuration)
 	w.Services = make(map[string]*Service)
@@ -59,7 +59,7 @@
 }
 
 // address returns the address of an upstream, or empty if there is none.
-func (w *World) address(upstream string) string {
+func (w *Environment) address(upstream string) string {
 	for _, u := range w.Configuration.Upstreams {
 		if u.Name == upstream {
 			return u.Address
@@ -68,7 +68,7 @@
 	return ""
 }
 
-func (w *World) serve(name, address string, h http.Handler) error {
+func (w *Environment) serve(name, address string, h http.Handler) error {
 	if address == "" {
 		return nil
 	}
@@ -82,7 +82,7 @@
 
 // Kill simulates the end of an upstream's process: its connections are closed and new ones are
 // refused.
-func (w *World) Kill(name string) {
+func (w *Environment) Kill(name string) {
 	if e := w.Fleet.Engine(name); e != nil {
 		e.Kill()
 	}
@@ -93,7 +93,7 @@
 }
 
 // Restart kills an upstream and starts it with a newer incarnation.
-func (w *World) Restart(name string) error {
+func (w *Environment) Restart(name string) error {
 	w.Kill(name)
 	if e := w.Fleet.Engine(name); e != nil {
 		e.Restart()
@@ -110,7 +110,7 @@
 }
 
 // Close kills all engines and closes all servers.
-func (w *World) Close() {
+func (w *Environment) Close() {
 	w.Fleet.Close()
 	for _, kill := range w.killFuncs {
 		kill()
@@ -122,7 +122,7 @@
 // POST /v1/NAME/kill, restart, pause, resume or leave, and
 // POST /v1/platform with {"out":true,"delayMs":2000}.
 // GET /v1/runs/SERVICE returns how often each idempotency key of a service was executed.
-func (w *World) Control() http.Handler {
+func (w *Environment) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/platform", func(rw http.ResponseWriter, r *http.Request) {
 		var in struct {
@@ -148,7 +148,7 @@
 	return mux
 }
 
-func (w *World) control(name, action string) error {
+func (w *Environment) control(name, action string) error {
 	switch action {
 	case "kill":
 		w.Kill(name)
--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -31,7 +31,7 @@
 type bench struct {
 	t     *testing.T
 	net   *faker.Network
-	world *faker.World
+	world *faker.Environment
 	hosts []*entry
 	log   *lines
 	seed  uint64
@@ -125,7 +125,7 @@
 	}
 	b.net.Place("10.9.0.1:1", platformPlace)
 	b.net.Place("10.9.0.1:2", platformPlace)
-	b.world = &faker.World{
+	b.world = &faker.Environment{
 		Configuration: cfg, Listen: b.net.Listen,
 		PlatformAddress: "10.9.0.1:1", HostListAddress: "10.9.0.1:2",
 	}
