--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -41,7 +41,7 @@
 			return err
 		}
 		defer kill()
-		source.List(balancer.Upstream{ID: id, Service: id[:len(id)-2], Address: address(5 + i), DataCentre: "here", Slots: 8})
+		source.PutUpstream(balancer.Upstream{ID: id, Service: id[:len(id)-2], Address: address(5 + i), DataCentre: "here", Slots: 8})
 	}
 	kill, err := faker.Serve(listen, address(4), devControl(source, stages))
 	if err != nil {
--- a/faker/directory.go
+++ b/faker/directory.go
@@ -46,8 +46,8 @@
 	d.record(func(c *historyEntry) { d.cfg, c.cfg = cfg, cfg })
 }
 
-// List adds or replaces the entry of an upstream.
-func (d *Directory) List(u balancer.Upstream) {
+// PutUpstream adds or replaces the entry of an upstream.
+func (d *Directory) PutUpstream(u balancer.Upstream) {
 	d.record(func(c *historyEntry) {
 		if d.upstreams == nil {
 			d.upstreams = make(map[string]balancer.Upstream)
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(_ *testing.T) {
 		src := new(faker.Directory)
 		src.Configure(&matcher.Configuration{Version: 3})
-		src.List(balancer.Upstream{ID: "one", Address: "1"})
+		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 		b := new(balancer.Balancer)
 		started := time.Now()
 		c := &countingSource{Source: src}
@@ -101,7 +101,7 @@
 				c.calls.Store(0)
 				const length = 20 * time.Second
 				for range length / (20 * time.Millisecond) {
-					src.List(balancer.Upstream{ID: "one", Address: "1"})
+					src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 					time.Sleep(20 * time.Millisecond)
 				}
 				is.New(t).True(float64(c.calls.Load()) <= tc.most*length.Seconds())
@@ -116,7 +116,7 @@
 func TestOutage(t *testing.T) {
 	run(t, func(src *faker.Directory, _ *follower.Follower, b *balancer.Balancer) {
 		is := is.New(t)
-		src.List(balancer.Upstream{ID: "two", Address: "2"})
+		src.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
 		time.Sleep(time.Second)
 		src.SetAway(true)
 		src.Drop("one")
@@ -125,7 +125,7 @@
 		src.SetAway(false)
 		time.Sleep(time.Second)
 		is.Equal(len(b.IDs()), 2)
-		src.List(balancer.Upstream{ID: "one", Address: "1"})
+		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 		time.Sleep(5 * time.Second)
 		is.Equal(b.IDs(), []string{"one"})
 		src.Drop("one")
@@ -141,7 +141,7 @@
 		is := is.New(t)
 		src.SetAway(true)
 		src.Drop("one")
-		src.List(balancer.Upstream{ID: "two", Address: "2"})
+		src.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
 		src.Configure(&matcher.Configuration{Version: 9})
 		src.Compact()
 		src.SetAway(false)
@@ -189,7 +189,7 @@
 		is := is.New(t)
 		leaving := func() bool { return b.Upstreams()[0].Leaving }
 		before := fol.Position()
-		src.List(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
+		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
 		time.Sleep(time.Second)
 		is.True(leaving())
 		fol.ApplyPeerUpstreams([]balancer.Upstream{{ID: "one", Address: "1"}}, before)
--- a/follower/large_test.go
+++ b/follower/large_test.go
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(_ *testing.T) {
 		src := &slowSource{Directory: new(faker.Directory), loadDuration: loadDuration}
 		src.Configure(&matcher.Configuration{Version: 3})
-		src.List(balancer.Upstream{ID: "one", Address: "1"})
+		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 		started := time.Now()
 		now := func() time.Duration { return time.Since(started) + time.Second }
 		fol := &follower.Follower{Source: src, Balancer: new(balancer.Balancer), Now: now, ReadsSource: reads}
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -54,7 +54,7 @@
 		run(t, func(src *faker.Directory, _ *follower.Follower, b *balancer.Balancer) {
 			is := is.New(t)
 			c := src.Copy()
-			src.List(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
+			src.PutUpstream(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
 			time.Sleep(time.Second)
 			restoreFromCopy(src, c)
 			time.Sleep(time.Second)
@@ -65,7 +65,7 @@
 		run(t, func(src *faker.Directory, fol *follower.Follower, b *balancer.Balancer) {
 			is := is.New(t)
 			c := src.Copy()
-			src.List(balancer.Upstream{ID: "new", Address: "2"})
+			src.PutUpstream(balancer.Upstream{ID: "new", Address: "2"})
 			src.Host(follower.Host{Name: "new", Address: "3", DataCentre: "a"})
 			time.Sleep(time.Second)
 			hosts := len(fol.Hosts())
@@ -73,7 +73,7 @@
 			time.Sleep(time.Second)
 			is.True(isListed(b, "new")) // its entry may be written again
 			is.Equal(len(fol.Hosts()), hosts)
-			src.List(balancer.Upstream{ID: "new", Address: "2"})
+			src.PutUpstream(balancer.Upstream{ID: "new", Address: "2"})
 			time.Sleep(3 * time.Second)
 			is.True(isListed(b, "new"))
 			is.Equal(len(fol.Hosts()), hosts-1) // its entry was not written again
@@ -84,7 +84,7 @@
 			is := is.New(t)
 			c := src.Copy()
 			for n := range 20 {
-				src.List(balancer.Upstream{ID: "two", Address: "2", StartedAt: int64(n)})
+				src.PutUpstream(balancer.Upstream{ID: "two", Address: "2", StartedAt: int64(n)})
 			}
 			time.Sleep(time.Second)
 			before := fol.Position()
--- a/follower/update_test.go
+++ b/follower/update_test.go
@@ -34,7 +34,7 @@
 		src.SetAway(false)
 		time.Sleep(time.Second)
 		is.True(fol.State(before).Update == nil) // whether the entry returns is not known yet
-		src.List(balancer.Upstream{ID: "one", Address: "1"})
+		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 		time.Sleep(time.Second)
 		u := fol.State(between).Update
 		is.True(u != nil)
@@ -55,7 +55,7 @@
 		src.SetAway(false)
 		time.Sleep(time.Second)
 		is.True(isListed(b, "one"))
-		src.List(balancer.Upstream{ID: "one", Address: "1"})
+		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 		at := fol.Position()
 		fol.ApplyPeerState(7*time.Second, &follower.State{Version: 3, Position: plus(at, 1), Update: &follower.Update{After: at, Position: plus(at, 1)}})
 		time.Sleep(5 * time.Second)
@@ -76,13 +76,13 @@
 			at := fol.Position()
 			update := &follower.Update{After: at, Position: plus(at, 2), Listed: []balancer.Upstream{leaving}}
 			fol.ApplyPeerState(0, &follower.State{Version: 3, Position: plus(at, 2), Update: update})
-			src.List(ready) // the change before the one in the update
+			src.PutUpstream(ready) // the change before the one in the update
 			time.Sleep(20 * time.Millisecond)
 			is.True(b.Upstreams()[0].Leaving)
-			src.List(leaving)
+			src.PutUpstream(leaving)
 			time.Sleep(time.Second)
 			is.True(b.Upstreams()[0].Leaving)
-			src.List(ready)
+			src.PutUpstream(ready)
 		}
 	})
 }
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -149,7 +149,7 @@
 	}
 	b.stages[id] = s
 	service, _, _ := strings.Cut(id, "-")
-	b.source.List(balancer.Upstream{ID: id, Service: service, Address: address, DataCentre: dataCentre, Slots: 8, StartedAt: 1})
+	b.source.PutUpstream(balancer.Upstream{ID: id, Service: service, Address: address, DataCentre: dataCentre, Slots: 8, StartedAt: 1})
 	return func() { kill.Load().(func())() }
 }
 
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -272,7 +272,7 @@
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		b.source.Compact()
-		b.source.List(balancer.Upstream{ID: "desk-a", Service: "desk", Address: "10.1.0.desk-a:80", DataCentre: "here", Slots: 8, Leaving: true})
+		b.source.PutUpstream(balancer.Upstream{ID: "desk-a", Service: "desk", Address: "10.1.0.desk-a:80", DataCentre: "here", Slots: 8, Leaving: true})
 		time.Sleep(2 * time.Second)
 		before := len(b.stages["desk-a"].Seen())
 		for n := range 10 {
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -123,7 +123,7 @@
 func (fl *fleet) heartbeat(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !fl.quiet.Load() {
-			fl.source.List(balancer.Upstream{ID: "steady", Address: "0"})
+			fl.source.PutUpstream(balancer.Upstream{ID: "steady", Address: "0"})
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -274,9 +274,9 @@
 				for _, m := range fl.members {
 					is.Equal(fl.deadCount(m, "steady"), int64(len(fl.members)))
 				}
-				fl.source.List(balancer.Upstream{ID: "new", Address: "1"})
+				fl.source.PutUpstream(balancer.Upstream{ID: "new", Address: "1"})
 				is.True(await(3*time.Second, func() bool { return allKnow(fl.members, "new", false) }) <= 1500*time.Millisecond)
-				fl.source.List(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
+				fl.source.PutUpstream(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
 				is.True(await(3*time.Second, func() bool { return allKnow(fl.members, "new", true) }) <= 1500*time.Millisecond)
 				fl.source.Configure(&matcher.Configuration{Version: 2})
 				is.True(await(3*time.Second, func() bool {
@@ -346,7 +346,7 @@
 			fl.net.Break(m.name)
 		}
 		left := fl.without(lost)
-		fl.source.List(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
+		fl.source.PutUpstream(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
 		is.True(await(3*time.Second, func() bool { return allKnow(left, "new", true) }) <= 2*time.Second)
 		for range 40 {
 			is.True(maxReadAge(left) <= 2*time.Second)
@@ -384,7 +384,7 @@
 			m.refused.Store(true)
 		}
 		time.Sleep(2 * time.Second)
-		fl.source.List(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
+		fl.source.PutUpstream(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
 		is.True(await(6*time.Second, func() bool { return allKnow(fl.members, "new", true) }) <= 2500*time.Millisecond)
 		for range 40 {
 			is.True(maxReadAge(fl.members) <= 2500*time.Millisecond)
--- a/sharer/limits_test.go
+++ b/sharer/limits_test.go
@@ -29,7 +29,7 @@
 		t.Run(fmt.Sprint(size.centres*size.each, " hosts"), func(t *testing.T) {
 			runFleet(t, size.centres, size.each, func(is *is.I, fl *fleet) {
 				first, last := fl.members[0], fl.members[len(fl.members)-1]
-				fl.source.List(balancer.Upstream{ID: "needy", Address: "1"})
+				fl.source.PutUpstream(balancer.Upstream{ID: "needy", Address: "1"})
 				time.Sleep(3 * time.Second)
 				now := fl.now()
 				_, changed := first.balancer.ObserveLimit(now, now, "needy", 0, 2)
@@ -56,7 +56,7 @@
 // upstreams before it takes requests.
 func TestStartedHostLearnsLimits(t *testing.T) {
 	runFleet(t, 3, 8, func(is *is.I, fl *fleet) {
-		fl.source.List(balancer.Upstream{ID: "needy", Address: "1"})
+		fl.source.PutUpstream(balancer.Upstream{ID: "needy", Address: "1"})
 		time.Sleep(2 * time.Second)
 		now := fl.now()
 		fl.members[0].balancer.ObserveLimit(now, now, "needy", 0, 2)
--- a/sharer/restore_test.go
+++ b/sharer/restore_test.go
@@ -17,17 +17,17 @@
 		for _, overtaken := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d hosts, overtaken %t", size.centres*size.each, overtaken), func(t *testing.T) {
 				runFleet(t, size.centres, size.each, func(is *is.I, fl *fleet) {
-					fl.source.List(balancer.Upstream{ID: "leaves", Address: "1"})
+					fl.source.PutUpstream(balancer.Upstream{ID: "leaves", Address: "1"})
 					time.Sleep(2 * time.Second)
 					c := fl.source.Copy()
 					time.Sleep(3 * time.Second)
 					fl.source.SetAway(true)
 					time.Sleep(1500 * time.Millisecond)
 					fl.source.Restore(c)
-					fl.source.List(balancer.Upstream{ID: "leaves", Address: "1", Leaving: true})
+					fl.source.PutUpstream(balancer.Upstream{ID: "leaves", Address: "1", Leaving: true})
 					if overtaken {
 						for n := range 200 {
-							fl.source.List(balancer.Upstream{ID: "other", Address: "2", StartedAt: int64(n)})
+							fl.source.PutUpstream(balancer.Upstream{ID: "other", Address: "2", StartedAt: int64(n)})
 						}
 					}
 					fl.calls.Store(0)
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -64,7 +64,7 @@
 			h := &host{source: new(faker.Directory), balancer: new(balancer.Balancer), suspects: new(tracker.Suspects)}
 			h.follow = &follower.Follower{Source: h.source, Balancer: h.balancer, Now: now}
 			h.source.Configure(&matcher.Configuration{Version: 1})
-			h.source.List(balancer.Upstream{ID: "one", Address: "1"})
+			h.source.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 			for _, other := range names {
 				if other != name {
 					h.source.Host(follower.Host{Name: other, Address: other + ":1", DataCentre: other})
@@ -99,7 +99,7 @@
 				for name, h := range hosts {
 					if name != away {
 						h.source.Configure(&matcher.Configuration{Version: 5})
-						h.source.List(balancer.Upstream{ID: "two", Address: "2"})
+						h.source.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
 						h.source.Drop("one")
 					}
 				}
