--- a/faker/directory.go
+++ b/faker/directory.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// Drop removes an upstream's entry.
-func (d *Directory) Drop(id string) {
+// DeleteUpstream removes an upstream's entry.
+func (d *Directory) DeleteUpstream(id string) {
 	d.record(func(c *historyEntry) {
 		delete(d.upstreams, id)
 		c.removedUpstream = id
--- a/follower/update_test.go
+++ b/follower/update_test.go
@@ -29,7 +29,7 @@
 		before := fol.Position()
 		src.SetAway(true)
 		time.Sleep(5 * time.Second)
-		src.Drop("one")
+		src.DeleteUpstream("one")
 		between := plus(before, 1) // position of a peer that had no outage and removed the upstream
 		src.SetAway(false)
 		time.Sleep(time.Second)
@@ -51,7 +51,7 @@
 		is := is.New(t)
 		src.SetAway(true)
 		time.Sleep(5 * time.Second)
-		src.Drop("one")
+		src.DeleteUpstream("one")
 		src.SetAway(false)
 		time.Sleep(time.Second)
 		is.True(isListed(b, "one"))
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -100,7 +100,7 @@
 					if name != away {
 						h.source.Configure(&matcher.Configuration{Version: 5})
 						h.source.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
-						h.source.Drop("one")
+						h.source.DeleteUpstream("one")
 					}
 				}
 				time.Sleep(5 * time.Second)
