--- a/faker/directory.go
+++ b/faker/directory.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// Host adds the entry of an entry host.
-func (d *Directory) Host(h follower.Host) {
+// AddHost adds the entry of an entry host.
+func (d *Directory) AddHost(h follower.Host) {
 	d.record(func(c *historyEntry) {
 		d.hosts = append(d.hosts, h)
 		c.host = &h
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -95,7 +95,7 @@
 		t.Run(strconv.Itoa(tc.hosts), func(t *testing.T) {
 			runCounted(t, func(src *faker.Directory, fol *follower.Follower, _ *balancer.Balancer, c *countingSource) {
 				for i := range tc.hosts - 1 {
-					src.Host(follower.Host{Name: strconv.Itoa(i), Address: "1", DataCentre: "a"})
+					src.AddHost(follower.Host{Name: strconv.Itoa(i), Address: "1", DataCentre: "a"})
 				}
 				time.Sleep(2 * time.Second)
 				c.calls.Store(0)
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -66,7 +66,7 @@
 			is := is.New(t)
 			c := src.Copy()
 			src.PutUpstream(balancer.Upstream{ID: "new", Address: "2"})
-			src.Host(follower.Host{Name: "new", Address: "3", DataCentre: "a"})
+			src.AddHost(follower.Host{Name: "new", Address: "3", DataCentre: "a"})
 			time.Sleep(time.Second)
 			hosts := len(fol.Hosts())
 			restoreFromCopy(src, c)
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -43,7 +43,7 @@
 func (fl *fleet) runUnderLoad(hosts int, path string, perSecond float64, f func()) {
 	for n := range hosts {
 		h := follower.Host{Name: fmt.Sprintf("host-%03d", n), DataCentre: dataCentres[n%len(dataCentres)], Address: fmt.Sprintf("10.0.%d.%d:82", n/200, n%200+1)}
-		fl.source.Host(h)
+		fl.source.AddHost(h)
 		fl.hosts = append(fl.hosts, h)
 	}
 	for _, h := range fl.hosts {
@@ -167,7 +167,7 @@
 func (fl *fleet) restartHost(name string) {
 	for _, h := range fl.hosts {
 		if h.Name == name {
-			fl.source.Host(h)
+			fl.source.AddHost(h)
 			fl.startHost(h)
 		}
 	}
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -96,7 +96,7 @@
 		fl.source.Configure(&matcher.Configuration{Version: 1})
 		for i := range centres * each {
 			m := &member{name: fmt.Sprintf("host-%03d", i), dataCentre: fmt.Sprint("dc", i%centres)}
-			fl.source.Host(follower.Host{Name: m.name, Address: m.name + ":1", DataCentre: m.dataCentre})
+			fl.source.AddHost(follower.Host{Name: m.name, Address: m.name + ":1", DataCentre: m.dataCentre})
 			fl.members = append(fl.members, m)
 		}
 		go fl.heartbeat(ctx)
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -67,7 +67,7 @@
 			h.source.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
 			for _, other := range names {
 				if other != name {
-					h.source.Host(follower.Host{Name: other, Address: other + ":1", DataCentre: other})
+					h.source.AddHost(follower.Host{Name: other, Address: other + ":1", DataCentre: other})
 				}
 			}
 			tr := &http.Transport{DialContext: n.Dialer(name)}
