--- a/faker/directory.go
+++ b/faker/directory.go
@@ -65,8 +65,8 @@
 	})
 }
 
-// DropHost removes the entry of an entry host.
-func (d *Directory) DropHost(name string) {
+// DeleteHost removes the entry of an entry host.
+func (d *Directory) DeleteHost(name string) {
 	d.record(func(c *historyEntry) {
 		d.hosts = slices.DeleteFunc(slices.Clone(d.hosts), func(h follower.Host) bool { return h.Name == name })
 		c.removedHost = name
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -160,7 +160,7 @@
 func (fl *fleet) crashHost(name string) {
 	fl.killHost[name]()
 	time.Sleep(3 * time.Second)
-	fl.source.DropHost(name)
+	fl.source.DeleteHost(name)
 }
 
 // restartHost starts a host again after crashHost.
