--- a/faker/directory.go
+++ b/faker/directory.go
@@ -81,8 +81,8 @@
 	})
 }
 
-// SetAway makes the source unreachable, or reachable again.
-func (d *Directory) SetAway(away bool) {
+// SetUnavailable makes the source unreachable, or reachable again.
+func (d *Directory) SetUnavailable(away bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unavailable = away
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -65,10 +65,10 @@
 			time.Sleep(137 * time.Millisecond)
 			is.True(fol.Age() <= 2500*time.Millisecond)
 		}
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		time.Sleep(10 * time.Second)
 		is.True(fol.Age() > 9*time.Second)
-		src.SetAway(false)
+		src.SetUnavailable(false)
 		time.Sleep(time.Second)
 		is.True(fol.Age() <= 2500*time.Millisecond)
 	})
@@ -118,11 +118,11 @@
 		is := is.New(t)
 		src.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
 		time.Sleep(time.Second)
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		src.DeleteUpstream("one")
 		src.DeleteUpstream("two")
 		time.Sleep(5 * time.Second)
-		src.SetAway(false)
+		src.SetUnavailable(false)
 		time.Sleep(time.Second)
 		is.Equal(len(b.IDs()), 2)
 		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
@@ -139,12 +139,12 @@
 func TestCompacted(t *testing.T) {
 	run(t, func(src *faker.Directory, fol *follower.Follower, b *balancer.Balancer) {
 		is := is.New(t)
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		src.DeleteUpstream("one")
 		src.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
 		src.Configure(&matcher.Configuration{Version: 9})
 		src.Compact()
-		src.SetAway(false)
+		src.SetUnavailable(false)
 		time.Sleep(8 * time.Second)
 		is.Equal(b.IDs(), []string{"two"})
 		is.Equal(fol.Table().Version, int64(9))
@@ -155,7 +155,7 @@
 func TestPeerConfiguration(t *testing.T) {
 	run(t, func(src *faker.Directory, fol *follower.Follower, _ *balancer.Balancer) {
 		is := is.New(t)
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		time.Sleep(10 * time.Second)
 		sent := 12 * time.Second
 		fol.ApplyPeerConfiguration(sent, time.Second, 4, nil) // the peer reports a version that this host does not have
@@ -173,9 +173,9 @@
 func TestRemovedAfterOutage(t *testing.T) {
 	run(t, func(src *faker.Directory, _ *follower.Follower, b *balancer.Balancer) {
 		is := is.New(t)
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		time.Sleep(7 * time.Second)
-		src.SetAway(false)
+		src.SetUnavailable(false)
 		time.Sleep(time.Second)
 		src.DeleteUpstream("one")
 		time.Sleep(time.Second)
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -14,10 +14,10 @@
 
 // restoreFromCopy makes a source unreachable for two seconds and restores it from a copy.
 func restoreFromCopy(src *faker.Directory, c *faker.Directory) {
-	src.SetAway(true)
+	src.SetUnavailable(true)
 	time.Sleep(2 * time.Second)
 	src.Restore(c)
-	src.SetAway(false)
+	src.SetUnavailable(false)
 }
 
 // TestSourceRestored checks that what a host knows beyond a source restored from a copy is kept
--- a/follower/update_test.go
+++ b/follower/update_test.go
@@ -27,11 +27,11 @@
 	run(t, func(src *faker.Directory, fol *follower.Follower, _ *balancer.Balancer) {
 		is := is.New(t)
 		before := fol.Position()
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		time.Sleep(5 * time.Second)
 		src.DeleteUpstream("one")
 		between := plus(before, 1) // position of a peer that had no outage and removed the upstream
-		src.SetAway(false)
+		src.SetUnavailable(false)
 		time.Sleep(time.Second)
 		is.True(fol.State(before).Update == nil) // whether the entry returns is not known yet
 		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
@@ -49,10 +49,10 @@
 	never := func() bool { return false }
 	runReading(t, never, func(src *faker.Directory, fol *follower.Follower, b *balancer.Balancer, _ *countingSource) {
 		is := is.New(t)
-		src.SetAway(true)
+		src.SetUnavailable(true)
 		time.Sleep(5 * time.Second)
 		src.DeleteUpstream("one")
-		src.SetAway(false)
+		src.SetUnavailable(false)
 		time.Sleep(time.Second)
 		is.True(isListed(b, "one"))
 		src.PutUpstream(balancer.Upstream{ID: "one", Address: "1"})
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -238,7 +238,7 @@
 	runHost(t, 5*time.Second, func(b *testbed) {
 		is := is.New(t)
 		is.Equal(b.request(http.MethodGet, "/look/1", "before", nil).status, http.StatusOK)
-		b.source.SetAway(true)
+		b.source.SetUnavailable(true)
 		cfg := b.cfg
 		cfg.Version, cfg.Workspaces = 2, nil
 		b.source.Configure(&cfg)
--- a/sharer/restore_test.go
+++ b/sharer/restore_test.go
@@ -21,7 +21,7 @@
 					time.Sleep(2 * time.Second)
 					c := fl.source.Copy()
 					time.Sleep(3 * time.Second)
-					fl.source.SetAway(true)
+					fl.source.SetUnavailable(true)
 					time.Sleep(1500 * time.Millisecond)
 					fl.source.Restore(c)
 					fl.source.PutUpstream(balancer.Upstream{ID: "leaves", Address: "1", Leaving: true})
@@ -31,7 +31,7 @@
 						}
 					}
 					fl.calls.Store(0)
-					fl.source.SetAway(false)
+					fl.source.SetUnavailable(false)
 					took := await(5*time.Second, func() bool { return allKnow(fl.members, "leaves", true) })
 					time.Sleep(max(0, 5*time.Second-took))
 					t.Logf("all hosts right after %v, %d calls to the source in 5 s", took, fl.calls.Load())
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -95,7 +95,7 @@
 		t.Run(away, func(t *testing.T) {
 			run(t, func(_ *faker.Network, hosts map[string]*host) {
 				is := is.New(t)
-				hosts[away].source.SetAway(true)
+				hosts[away].source.SetUnavailable(true)
 				for name, h := range hosts {
 					if name != away {
 						h.source.Configure(&matcher.Configuration{Version: 5})
@@ -120,7 +120,7 @@
 	names := strings.Split("abcdefghijkl", "")
 	runHosts(t, names, func(_ *faker.Network, hosts map[string]*host) {
 		is := is.New(t)
-		hosts["l"].source.SetAway(true)
+		hosts["l"].source.SetUnavailable(true)
 		time.Sleep(3 * time.Second)
 		for _, h := range hosts {
 			h.fullRequests.Store(0)
@@ -149,7 +149,7 @@
 func TestSourcesUnreachable(t *testing.T) {
 	runHosts(t, []string{"a", "b", "c", "d", "e", "f"}, func(n *faker.Network, hosts map[string]*host) {
 		is := is.New(t)
-		hosts["f"].source.SetAway(true)
+		hosts["f"].source.SetUnavailable(true)
 		for _, other := range []string{"a", "b", "d", "e"} {
 			n.Cut("f", other)
 		}
@@ -166,7 +166,7 @@
 func TestAllHostsRefused(t *testing.T) {
 	run(t, func(_ *faker.Network, hosts map[string]*host) {
 		for _, h := range hosts {
-			h.source.SetAway(true)
+			h.source.SetUnavailable(true)
 		}
 		time.Sleep(10 * time.Second)
 		for name, h := range hosts {
@@ -181,7 +181,7 @@
 // date.
 func TestIsolatedHost(t *testing.T) {
 	run(t, func(n *faker.Network, hosts map[string]*host) {
-		hosts["c"].source.SetAway(true)
+		hosts["c"].source.SetUnavailable(true)
 		n.Cut("c", "a")
 		n.Cut("c", "b")
 		time.Sleep(10 * time.Second)
