--- a/faker/directory.go
+++ b/faker/directory.go
@@ -92,8 +92,8 @@
 	return follower.Position{Era: d.era, Revision: d.revision}
 }
 
-// Copy returns a snapshot of the current state, for Restore.
-func (d *Directory) Copy() *Directory {
+// Snapshot returns a snapshot of the current state, for Restore.
+func (d *Directory) Snapshot() *Directory {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &Directory{revision: d.revision, cfg: d.cfg, upstreams: maps.Clone(d.upstreams), hosts: slices.Clone(d.hosts), history: slices.Clone(d.history)}
--- a/follower/restore_test.go
+++ b/follower/restore_test.go
@@ -26,7 +26,7 @@
 	t.Run("configuration", func(t *testing.T) {
 		run(t, func(src *faker.Directory, fol *follower.Follower, _ *balancer.Balancer) {
 			is := is.New(t)
-			c := src.Copy()
+			c := src.Snapshot()
 			src.Configure(&matcher.Configuration{Version: 9})
 			time.Sleep(time.Second)
 			restoreFromCopy(src, c)
@@ -41,7 +41,7 @@
 	t.Run("configuration that is not written again", func(t *testing.T) {
 		run(t, func(src *faker.Directory, fol *follower.Follower, _ *balancer.Balancer) {
 			is := is.New(t)
-			c := src.Copy()
+			c := src.Snapshot()
 			src.Configure(&matcher.Configuration{Version: 9})
 			time.Sleep(time.Second)
 			restoreFromCopy(src, c)
@@ -53,7 +53,7 @@
 	t.Run("upstream that leaves", func(t *testing.T) {
 		run(t, func(src *faker.Directory, _ *follower.Follower, b *balancer.Balancer) {
 			is := is.New(t)
-			c := src.Copy()
+			c := src.Snapshot()
 			src.PutUpstream(balancer.Upstream{ID: "one", Address: "1", Leaving: true})
 			time.Sleep(time.Second)
 			restoreFromCopy(src, c)
@@ -64,7 +64,7 @@
 	t.Run("upstream and host written since", func(t *testing.T) {
 		run(t, func(src *faker.Directory, fol *follower.Follower, b *balancer.Balancer) {
 			is := is.New(t)
-			c := src.Copy()
+			c := src.Snapshot()
 			src.PutUpstream(balancer.Upstream{ID: "new", Address: "2"})
 			src.AddHost(follower.Host{Name: "new", Address: "3", DataCentre: "a"})
 			time.Sleep(time.Second)
@@ -82,7 +82,7 @@
 	t.Run("peer that has not noticed", func(t *testing.T) {
 		run(t, func(src *faker.Directory, fol *follower.Follower, b *balancer.Balancer) {
 			is := is.New(t)
-			c := src.Copy()
+			c := src.Snapshot()
 			for n := range 20 {
 				src.PutUpstream(balancer.Upstream{ID: "two", Address: "2", StartedAt: int64(n)})
 			}
--- a/sharer/restore_test.go
+++ b/sharer/restore_test.go
@@ -19,7 +19,7 @@
 				runFleet(t, size.centres, size.each, func(is *is.I, fl *fleet) {
 					fl.source.PutUpstream(balancer.Upstream{ID: "leaves", Address: "1"})
 					time.Sleep(2 * time.Second)
-					c := fl.source.Copy()
+					c := fl.source.Snapshot()
 					time.Sleep(3 * time.Second)
 					fl.source.SetUnavailable(true)
 					time.Sleep(1500 * time.Millisecond)
