--- a/faker/network.go
+++ b/faker/network.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Place sets the location of an address.
-func (n *Network) Place(address, place string) {
+// SetLocation sets the location of an address.
+func (n *Network) SetLocation(address, place string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.locations[address] = place
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -69,7 +69,7 @@
 	fl.connect(h, f)
 	ctx, cancel := context.WithCancel(context.Background())
 	h.Settings.BalancerMs, h.Settings.StopMs = 10, 20
-	fl.net.Place(f.Address, f.Name)
+	fl.net.SetLocation(f.Address, f.Name)
 	done := make(chan error, 1)
 	go func() { done <- h.Run(ctx) }()
 	fl.killHost[f.Name] = func() {
--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -45,7 +45,7 @@
 		stop, err := faker.Serve(r.net.Listen, storeAddress, r.store)
 		is.New(t).NoErr(err)
 		defer stop()
-		r.net.Place(storeAddress, "store")
+		r.net.SetLocation(storeAddress, "store")
 		r.connect = r.useStore
 		ctx, cancel := context.WithCancel(context.Background())
 		for n, dc := range dataCentres {
--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -121,10 +121,10 @@
 func newBench(t *testing.T, seed uint64, cfg *builder.Configuration) *bench {
 	b := &bench{t: t, net: faker.NewNetwork(), seed: seed, log: new(lines), hosts: make([]*entry, atFirst)}
 	for _, u := range cfg.Upstreams {
-		b.net.Place(u.Address, u.DataCentre)
+		b.net.SetLocation(u.Address, u.DataCentre)
 	}
-	b.net.Place("10.9.0.1:1", platformPlace)
-	b.net.Place("10.9.0.1:2", platformPlace)
+	b.net.SetLocation("10.9.0.1:1", platformPlace)
+	b.net.SetLocation("10.9.0.1:2", platformPlace)
 	b.world = &faker.Environment{
 		Configuration: cfg, Listen: b.net.Listen,
 		PlatformAddress: "10.9.0.1:1", HostListAddress: "10.9.0.1:2",
@@ -164,7 +164,7 @@
 		Seed: b.seed*100 + uint64(i) + 1,
 	}
 	for _, ep := range []loader.Endpoint{cfg.Callers, cfg.Peer, cfg.Admin} {
-		b.net.Place(ep.Listen, cfg.DataCentre)
+		b.net.SetLocation(ep.Listen, cfg.DataCentre)
 	}
 	b.net.Alias(cfg.Peer.Listen, fmt.Sprint("peer", i))
 	is.New(b.t).NoErr(e.Build())
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -72,7 +72,7 @@
 			}
 			tr := &http.Transport{DialContext: n.Dialer(name)}
 			s := &sharer.Sharer{Self: name, DataCentre: name, Follower: h.follow, Balancer: h.balancer, Suspects: h.suspects, Now: now, HTTP: &http.Client{Transport: tr}, Log: zerolog.Nop()}
-			n.Place(name+":1", name)
+			n.SetLocation(name+":1", name)
 			kill, err := faker.Serve(n.Listen, name+":1", peer.NewShareServer(counter{s, h}))
 			is.New(t).NoErr(err)
 			defer kill()
