--- a/faker/network.go
+++ b/faker/network.go
@@ -49,8 +49,8 @@
 	n.locations[address] = place
 }
 
-// Alias gives an address a second location, so that it can be cut off on its own.
-func (n *Network) Alias(address, place string) {
+// SetAlias gives an address a second location, so that it can be cut off on its own.
+func (n *Network) SetAlias(address, place string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.aliases[address] = place
--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -166,7 +166,7 @@
 	for _, ep := range []loader.Endpoint{cfg.Callers, cfg.Peer, cfg.Admin} {
 		b.net.SetLocation(ep.Listen, cfg.DataCentre)
 	}
-	b.net.Alias(cfg.Peer.Listen, fmt.Sprint("peer", i))
+	b.net.SetAlias(cfg.Peer.Listen, fmt.Sprint("peer", i))
 	is.New(b.t).NoErr(e.Build())
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -145,7 +145,7 @@
 	m.share = &sharer.Sharer{Self: m.name, DataCentre: m.dataCentre, Follower: m.follow, Balancer: m.balancer, Suspects: m.suspects, Now: fl.now, HTTP: &http.Client{Transport: tr}, Log: zerolog.Nop()}
 	m.follow.ReadsSource, m.follow.ReaderCount = m.share.ReadsSource, m.share.ReaderCount
 	fl.net.SetLocation(m.name+":1", m.name)
-	fl.net.Alias(m.name+":1", m.dataCentre)
+	fl.net.SetAlias(m.name+":1", m.dataCentre)
 	stop, err := faker.Serve(fl.net.Listen, m.name+":1", peer.NewShareServer(m.share))
 	is.New(t).NoErr(err)
 	ctx, cancel := context.WithCancel(ctx)
