--- a/faker/network.go
+++ b/faker/network.go
@@ -56,9 +56,9 @@
 	n.aliases[address] = place
 }
 
-// Cut interrupts the link between two locations until Mend. Open connections are closed, and dials
+// Partition interrupts the link between two locations until Mend. Open connections are closed, and dials
 // fail after dialTimeout or when their context ends.
-func (n *Network) Cut(a, b string) {
+func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	n.partitioned[[2]string{a, b}] = true
 	n.partitioned[[2]string{b, a}] = true
--- a/launcher/limit_test.go
+++ b/launcher/limit_test.go
@@ -129,7 +129,7 @@
 					time.Sleep(5 * time.Second)
 				}
 				for _, h := range fl.hosts[1:] {
-					fl.net.Cut(fl.hosts[0].Name, h.Name)
+					fl.net.Partition(fl.hosts[0].Name, h.Name)
 				}
 				time.Sleep(5 * time.Second)
 				for _, h := range fl.hosts[1:] {
--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -173,7 +173,7 @@
 		}},
 		{"two hosts cut off from the store", func(r *restoreFleet, copyAge time.Duration) {
 			for _, h := range r.hosts[:min(2, len(r.hosts)-1)] {
-				r.net.Cut(h.Name, "store")
+				r.net.Partition(h.Name, "store")
 			}
 			r.restore(copyAge, nil)
 			time.Sleep(300 * time.Millisecond)
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -71,7 +71,7 @@
 		b.world.HostList.Lag = time.Minute
 		for i := range 4 {
 			for j := range i {
-				b.net.Cut(fmt.Sprintf("peer%d", i), fmt.Sprintf("peer%d", j))
+				b.net.Partition(fmt.Sprintf("peer%d", i), fmt.Sprintf("peer%d", j))
 			}
 		}
 		e := b.world.Fleet.Engine("port-front-0")
--- a/runner/once_test.go
+++ b/runner/once_test.go
@@ -155,7 +155,7 @@
 // bookings as not run and go on with the rest; the other hosts book.
 func TestCutOff(t *testing.T) {
 	run(t, 26, func(b *bench) {
-		b.net.Cut("port", platformPlace)
+		b.net.Partition("port", platformPlace)
 		b.assertRefused(b.post(1, bookings, booking("lot"), map[string]string{"Deadline-Ms": "20000"}), "platform", true)
 		b.assertWhole(b.generate(context.Background(), 1, "p", 5), "p", 5)
 		is.New(t).Equal(b.post(0, bookings, booking("lot"), nil).status, 200)
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -217,7 +217,7 @@
 	case 7:
 		a, z := centres[c.rnd.IntN(3)], append(centres, platformPlace)[c.rnd.IntN(4)]
 		if a != z {
-			c.net.Cut(a, z)
+			c.net.Partition(a, z)
 			c.after(d, func() { c.net.Mend(a, z) })
 		}
 	case 8:
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -112,7 +112,7 @@
 	run(t, 6, func(b *bench) {
 		others := []string{"north", "road", platformPlace}
 		for _, o := range others {
-			b.net.Cut("port", o)
+			b.net.Partition("port", o)
 		}
 		b.submit(1, configuration())
 		b.await(8*time.Second, func() bool { return b.hosts[0].Status(context.Background()).Revision == 2 })
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -404,12 +404,12 @@
 			}
 		}
 		time.Sleep(2 * time.Second)
-		fl.net.Cut("dc2", "dc0")
-		fl.net.Cut("dc2", "dc1")
+		fl.net.Partition("dc2", "dc0")
+		fl.net.Partition("dc2", "dc1")
 		for _, m := range fl.members {
 			for _, dc := range []string{"dc0", "dc1", "dc2"} {
 				if (m.dataCentre == "dc2") != (dc == "dc2") {
-					fl.net.Cut(m.name, dc)
+					fl.net.Partition(m.name, dc)
 				}
 			}
 		}
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -151,7 +151,7 @@
 		is := is.New(t)
 		hosts["f"].source.SetUnavailable(true)
 		for _, other := range []string{"a", "b", "d", "e"} {
-			n.Cut("f", other)
+			n.Partition("f", other)
 		}
 		time.Sleep(3 * time.Second)
 		hosts["c"].source.Configure(&matcher.Configuration{Version: 9})
@@ -182,8 +182,8 @@
 func TestIsolatedHost(t *testing.T) {
 	run(t, func(n *faker.Network, hosts map[string]*host) {
 		hosts["c"].source.SetUnavailable(true)
-		n.Cut("c", "a")
-		n.Cut("c", "b")
+		n.Partition("c", "a")
+		n.Partition("c", "b")
 		time.Sleep(10 * time.Second)
 		is.New(t).True(hosts["c"].follow.Age() > 9*time.Second)
 	})
