--- a/faker/network.go
+++ b/faker/network.go
@@ -101,8 +101,8 @@
 	return false
 }
 
-// Mend restores the link between two locations after Cut.
-func (n *Network) Mend(a, b string) {
+// Heal restores the link between two locations after Cut.
+func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.partitioned, [2]string{a, b})
--- a/launcher/limit_test.go
+++ b/launcher/limit_test.go
@@ -133,7 +133,7 @@
 				}
 				time.Sleep(5 * time.Second)
 				for _, h := range fl.hosts[1:] {
-					fl.net.Mend(fl.hosts[0].Name, h.Name)
+					fl.net.Heal(fl.hosts[0].Name, h.Name)
 				}
 				time.Sleep(5 * time.Second)
 			})
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -218,7 +218,7 @@
 		a, z := centres[c.rnd.IntN(3)], append(centres, platformPlace)[c.rnd.IntN(4)]
 		if a != z {
 			c.net.Partition(a, z)
-			c.after(d, func() { c.net.Mend(a, z) })
+			c.after(d, func() { c.net.Heal(a, z) })
 		}
 	case 8:
 		c.restartHost(c.rnd.IntN(4), c.rnd.IntN(2) == 0, d)
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -120,7 +120,7 @@
 		prompt := "while cut off"
 		b.assertWhole(b.generate(context.Background(), 1, prompt, 10), prompt, 10)
 		for _, o := range others {
-			b.net.Mend("port", o)
+			b.net.Heal("port", o)
 		}
 		b.awaitRevision(8*time.Second, 2)
 	})
