--- a/faker/network.go
+++ b/faker/network.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Break closes every connection to or from a location, as the kill of its process does.
-func (n *Network) Break(place string) {
+// CloseConnections closes every connection to or from a location, as the kill of its process does.
+func (n *Network) CloseConnections(place string) {
 	n.mu.Lock()
 	var broken []*conn
 	for c := range n.conns {
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -75,7 +75,7 @@
 	fl.killHost[f.Name] = func() {
 		delete(fl.killHost, f.Name)
 		cancel()
-		fl.net.Break(f.Name)
+		fl.net.CloseConnections(f.Name)
 		<-done
 	}
 }
--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -183,7 +183,7 @@
 // server would else write its farewell to each while it holds its lock, and the
 // clock of the test stood still.
 func (b *bench) kill(i int) {
-	b.net.Break(fmt.Sprint("peer", i))
+	b.net.CloseConnections(fmt.Sprint("peer", i))
 	b.hosts[i].Kill()
 	<-b.hosts[i].done
 	b.hosts[i].stop()
--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -343,7 +343,7 @@
 		is.Equal(len(lost), 2)
 		for _, m := range lost {
 			m.kill()
-			fl.net.Break(m.name)
+			fl.net.CloseConnections(m.name)
 		}
 		left := fl.without(lost)
 		fl.source.PutUpstream(balancer.Upstream{ID: "new", Address: "1", Leaving: true})
