--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -157,7 +157,7 @@
 		}
 		switch rnd.IntN(12) {
 		case 0:
-			platform.SetFaults(faker.Faults{Out: true})
+			platform.SetFaults(faker.Faults{Unavailable: true})
 		case 1:
 			platform.SetFaults(faker.Faults{LoseAnswer: loseAnswer})
 		case 2:
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -29,8 +29,8 @@
 
 // Faults are the faults that a Platform simulates; the zero value means none.
 type Faults struct {
-	// Out makes every call fail with storer.ErrUnavailable.
-	Out bool
+	// Unavailable makes every call fail with storer.ErrUnavailable.
+	Unavailable bool
 	// Delay is added to the duration of every call.
 	Delay time.Duration
 	// LoseAnswer reports whether the response to a write that took effect is lost, so that Swap
@@ -96,7 +96,7 @@
 			return storer.ErrUncertain
 		}
 	}
-	if f.Out {
+	if f.Unavailable {
 		return storer.ErrUnavailable
 	}
 	return nil
@@ -211,7 +211,7 @@
 	}
 	for {
 		p.mu.Lock()
-		if p.faults.Out {
+		if p.faults.Unavailable {
 			p.mu.Unlock()
 			return storer.Entry{}, storer.ErrUnavailable
 		}
--- a/faker/world.go
+++ b/faker/world.go
@@ -133,7 +133,7 @@
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		w.Platform.SetFaults(Faults{Out: in.Out, Delay: time.Duration(in.DelayMs) * time.Millisecond})
+		w.Platform.SetFaults(Faults{Unavailable: in.Out, Delay: time.Duration(in.DelayMs) * time.Millisecond})
 	})
 	mux.HandleFunc("GET /v1/runs/{service}", func(rw http.ResponseWriter, r *http.Request) {
 		if s := w.Services[r.PathValue("service")]; s != nil {
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -132,7 +132,7 @@
 		store := new(faker.Platform)
 		h := start(store, "one", freeDuty(store))
 		time.Sleep(2 * time.Second)
-		store.SetFaults(faker.Faults{Out: true})
+		store.SetFaults(faker.Faults{Unavailable: true})
 		time.Sleep(4 * time.Second)
 		is.True(!h.Holding("a"))
 		store.SetFaults(faker.Faults{})
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -100,7 +100,7 @@
 	for name, out := range map[string]bool{"platform up": false, "platform out": true} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 35, func(b *bench) {
-				b.world.Platform.SetFaults(faker.Faults{Out: out})
+				b.world.Platform.SetFaults(faker.Faults{Unavailable: out})
 				for i := range 4 {
 					b.replace(i)
 				}
--- a/runner/once_test.go
+++ b/runner/once_test.go
@@ -86,7 +86,7 @@
 // Once the platform is back the same booking runs, once.
 func TestPlatformOut(t *testing.T) {
 	run(t, 22, func(b *bench) {
-		b.world.Platform.SetFaults(faker.Faults{Out: true})
+		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
 		r := b.post(0, bookings, booking("lot"), nil)
 		b.assertRefused(r, "platform", true)
 		is.New(t).Equal(b.post(0, "/services/desk/search", "{}", nil).status, 200)
@@ -106,7 +106,7 @@
 		done := make(chan reply)
 		go func() { done <- b.post(0, bookings, booking("lot"), nil) }()
 		time.Sleep(500 * time.Millisecond)
-		b.world.Platform.SetFaults(faker.Faults{Out: true})
+		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
 		is := is.New(t)
 		first := <-done
 		is.Equal(first.status, 200)
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -209,7 +209,7 @@
 		e.Leave()
 		c.after(d, func() { _ = c.world.Restart(e.Upstream.Name) })
 	case 4:
-		c.platformFault(faker.Faults{Out: true}, d)
+		c.platformFault(faker.Faults{Unavailable: true}, d)
 	case 5:
 		c.platformFault(faker.Faults{Delay: 2 * time.Second}, d)
 	case 6:
--- a/runner/refusal_test.go
+++ b/runner/refusal_test.go
@@ -115,7 +115,7 @@
 		for i := range b.hosts {
 			b.kill(i)
 		}
-		b.world.Platform.SetFaults(faker.Faults{Out: true})
+		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
 		e := b.start(0)
 		time.Sleep(time.Second)
 		is.New(t).True(!e.Ready())
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -95,7 +95,7 @@
 // configuration, so it must not report ready, and takes the one its peers have.
 func TestFreshHost(t *testing.T) {
 	run(t, 5, func(b *bench) {
-		b.world.Platform.SetFaults(faker.Faults{Out: true})
+		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
 		b.kill(1)
 		e := b.start(1)
 		is.New(t).True(!e.Ready())
