--- a/deduplicator/deduplicator_test.go
+++ b/deduplicator/deduplicator_test.go
@@ -159,7 +159,7 @@
 		case 0:
 			platform.SetFaults(faker.Faults{Unavailable: true})
 		case 1:
-			platform.SetFaults(faker.Faults{LoseAnswer: loseAnswer})
+			platform.SetFaults(faker.Faults{LoseResponse: loseAnswer})
 		case 2:
 			platform.SetFaults(faker.Faults{Delay: 2 * time.Second})
 		case 3:
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -33,9 +33,9 @@
 	Unavailable bool
 	// Delay is added to the duration of every call.
 	Delay time.Duration
-	// LoseAnswer reports whether the response to a write that took effect is lost, so that Swap
+	// LoseResponse reports whether the response to a write that took effect is lost, so that Swap
 	// returns storer.ErrUncertain; nil means never.
-	LoseAnswer func(w storer.Write) bool
+	LoseResponse func(w storer.Write) bool
 	// Stale makes reads return values from the copy that Remember made.
 	Stale bool
 }
@@ -173,7 +173,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	rev, err := p.swap(w)
-	if err == nil && p.faults.LoseAnswer != nil && p.faults.LoseAnswer(w) {
+	if err == nil && p.faults.LoseResponse != nil && p.faults.LoseResponse(w) {
 		return 0, storer.ErrUncertain
 	}
 	return rev, err
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -201,7 +201,7 @@
 		}
 		n := 0
 		lose := func(storer.Write) bool { n++; return n%2 == 0 }
-		for _, f := range []faker.Faults{{}, {Unavailable: true}, {}, {LoseAnswer: lose}, {Delay: 2 * time.Second}, {}} {
+		for _, f := range []faker.Faults{{}, {Unavailable: true}, {}, {LoseResponse: lose}, {Delay: 2 * time.Second}, {}} {
 			platform.SetFaults(f)
 			time.Sleep(4 * lease)
 			assertFencesRise(t, g)
--- a/runner/once_test.go
+++ b/runner/once_test.go
@@ -67,7 +67,7 @@
 func TestLostWriteAnswer(t *testing.T) {
 	run(t, 21, func(b *bench) {
 		lost := 0
-		b.world.Platform.SetFaults(faker.Faults{LoseAnswer: func(storer.Write) bool {
+		b.world.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
 			lost++
 			return lost%2 == 1
 		}})
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -213,7 +213,7 @@
 	case 5:
 		c.platformFault(faker.Faults{Delay: 2 * time.Second}, d)
 	case 6:
-		c.platformFault(faker.Faults{LoseAnswer: c.loseSome}, d)
+		c.platformFault(faker.Faults{LoseResponse: c.loseSome}, d)
 	case 7:
 		a, z := centres[c.rnd.IntN(3)], append(centres, platformPlace)[c.rnd.IntN(4)]
 		if a != z {
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -64,7 +64,7 @@
 func TestLostSubmission(t *testing.T) {
 	run(t, 3, func(b *bench) {
 		lost := 0
-		b.world.Platform.SetFaults(faker.Faults{LoseAnswer: func(storer.Write) bool {
+		b.world.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
 			lost++
 			return lost <= 3
 		}})
