--- a/faker/platform.go
+++ b/faker/platform.go
@@ -53,8 +53,8 @@
 	p.notifyWatches()
 }
 
-// Remember takes a copy of all entries for Faults.Stale.
-func (p *Platform) Remember() {
+// TakeSnapshot takes a copy of all entries for Faults.Stale.
+func (p *Platform) TakeSnapshot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.snapshot = make(map[string]storer.Entry, len(p.entries))
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -78,7 +78,7 @@
 // before. Hosts only move to a higher revision.
 func TestStalePlatform(t *testing.T) {
 	run(t, 4, func(b *bench) {
-		b.world.Platform.Remember()
+		b.world.Platform.TakeSnapshot()
 		b.submit(1, configuration())
 		b.awaitRevision(8*time.Second, 2)
 		b.world.Platform.SetFaults(faker.Faults{Stale: true})
