--- a/faker/engine.go
+++ b/faker/engine.go
@@ -35,8 +35,8 @@
 type Fleet struct {
 	// Links are the latencies between data centres; set before use.
 	Links picker.Links
-	// Lag is the maximum age of reported loads; set before use.
-	Lag time.Duration
+	// MaxLoadAge is the maximum age of reported loads; set before use.
+	MaxLoadAge time.Duration
 
 	mu        sync.Mutex
 	byAddress map[string]*Engine
@@ -285,7 +285,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if now.Sub(e.reportedAt) >= e.fleet.Lag || e.reportedAt.IsZero() {
+	if now.Sub(e.reportedAt) >= e.fleet.MaxLoadAge || e.reportedAt.IsZero() {
 		e.reported, e.reportedAt = tracker.Load{Incarnation: e.incarnation, Running: e.running}, now
 	}
 	out := e.reported
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -214,7 +214,7 @@
 func (x *result) simulate(t *testing.T) {
 	cfg := mixedConfiguration()
 	x.fleet = faker.NewFleet(cfg)
-	x.fleet.Lag = time.Second
+	x.fleet.MaxLoadAge = time.Second
 	defer x.fleet.Close()
 	n := x.experiment.hosts
 	if n == 0 {
