--- a/faker/engine.go
+++ b/faker/engine.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Started returns the number of attempts of a request that an engine started.
-func (f *Fleet) Started(requestID string) int {
+// Attempts returns the number of attempts of a request that an engine started.
+func (f *Fleet) Attempts(requestID string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.attempts[requestID]
--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -353,7 +353,7 @@
 	is.Equal(r.refuse.Reason, reason)
 	is.Equal(r.refuse.NotRun, notRun)
 	if notRun {
-		is.Equal(b.world.Fleet.Started(r.refuse.RequestID), 0)
+		is.Equal(b.world.Fleet.Attempts(r.refuse.RequestID), 0)
 		is.Equal(b.world.Services["desk"].Requests(r.refuse.RequestID), 0)
 	}
 }
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -150,7 +150,7 @@
 // notRun checks the claim against what the upstreams saw.
 func (c *chaos) notRun(r reply) {
 	id := r.refuse.RequestID
-	if r.refuse.NotRun && c.world.Fleet.Started(id)+c.world.Services["desk"].Requests(id) > 0 {
+	if r.refuse.NotRun && c.world.Fleet.Attempts(id)+c.world.Services["desk"].Requests(id) > 0 {
 		c.t.Errorf("request %s was refused as not run, and ran: %+v", id, r.refuse)
 	}
 }
