--- a/faker/engine.go
+++ b/faker/engine.go
@@ -106,8 +106,8 @@
 	return f.attempts[requestID]
 }
 
-// SlowLink adds d to the latency between two data centres, in both directions; 0 removes it.
-func (f *Fleet) SlowLink(a, b string, d time.Duration) {
+// SetExtraLatency adds d to the latency between two data centres, in both directions; 0 removes it.
+func (f *Fleet) SetExtraLatency(a, b string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.extraLatency[[2]string{a, b}], f.extraLatency[[2]string{b, a}] = d, d
--- a/router/decisions_test.go
+++ b/router/decisions_test.go
@@ -103,7 +103,7 @@
 }{
 	{"an upstream killed", func(x *result) { x.fleet.Engine("k1-0-15-1").Kill() }},
 	{"an upstream paused", func(x *result) { x.fleet.Engine("k1-0-15-1").Pause() }},
-	{"a link 100 times slower", func(x *result) { x.fleet.SlowLink("a", "b", 10*time.Millisecond) }},
+	{"a link 100 times slower", func(x *result) { x.fleet.SetExtraLatency("a", "b", 10*time.Millisecond) }},
 	{"one of four entry hosts lost", func(x *result) { x.loseHost(x.hosts[1]) }},
 	{"a data centre lost", func(x *result) { x.eachEngine("b", (*faker.Engine).Kill) }},
 	{"a data centre back", func(x *result) { x.eachEngine("b", (*faker.Engine).Restart); x.probeAll() }},
--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -88,7 +88,7 @@
 // mid-answer. Answers take longer or move, and stay whole.
 func TestSlowLink(t *testing.T) {
 	run(t, 14, func(b *bench) {
-		b.disturb(func(*faker.Engine) { b.world.Fleet.SlowLink("north", "port", 80*time.Millisecond) })
+		b.disturb(func(*faker.Engine) { b.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
 	})
 }
 
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -223,8 +223,8 @@
 	case 8:
 		c.restartHost(c.rnd.IntN(4), c.rnd.IntN(2) == 0, d)
 	case 9:
-		c.world.Fleet.SlowLink("north", "port", 80*time.Millisecond)
-		c.after(d, func() { c.world.Fleet.SlowLink("north", "port", 0) })
+		c.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond)
+		c.after(d, func() { c.world.Fleet.SetExtraLatency("north", "port", 0) })
 	case 10:
 		c.reconfigure()
 	case 11:
