--- a/faker/engine.go
+++ b/faker/engine.go
@@ -63,7 +63,7 @@
 		e := &Engine{Upstream: u, fleet: f, incarnation: time.Now().UnixMilli()}
 		for _, k := range cfg.Accelerators {
 			if k.Name == u.Accelerator {
-				e.Kind = k
+				e.Accelerator = k
 			}
 		}
 		for _, m := range cfg.Models {
@@ -130,8 +130,8 @@
 // waiting steps, those of higher priority first, and lasts as long as its kind of accelerator
 // needs for them.
 type Engine struct {
-	Upstream builder.Upstream
-	Kind     builder.Accelerator
+	Upstream    builder.Upstream
+	Accelerator builder.Accelerator
 
 	fleet *Fleet
 	mu    sync.Mutex
@@ -326,7 +326,7 @@
 		return nil, 0
 	}
 	slices.SortStableFunc(e.waiting, func(a, b *step) int { return b.priority - a.priority })
-	capacity := float64(e.Kind.Batch)
+	capacity := float64(e.Accelerator.Batch)
 	maxChunk := max(1, capacity/2)
 	var layerCost float64
 	var finished, unfinished []*step
@@ -342,7 +342,7 @@
 		unfinished = append(unfinished, s)
 	}
 	e.waiting = unfinished
-	return finished, time.Duration((e.Kind.StepMs + layerCost*e.Kind.LayerMs) * float64(time.Millisecond))
+	return finished, time.Duration((e.Accelerator.StepMs + layerCost*e.Accelerator.LayerMs) * float64(time.Millisecond))
 }
 
 // run runs the layers of a stage for one token. first is set for the first token of a request on
