--- a/faker/engine.go
+++ b/faker/engine.go
@@ -149,10 +149,10 @@
 	prefixes     []uint64
 	reported     tracker.Load
 	reportedAt   time.Time
-	// Hits and Misses count prompts by whether their prefix was cached, Crashes counts the
+	// CacheHits and Misses count prompts by whether their prefix was cached, Crashes counts the
 	// crashes by Poison, Loads counts the orders applied.
-	Hits, Misses, Crashes, Loads int
-	sequencesStarted             int
+	CacheHits, Misses, Crashes, Loads int
+	sequencesStarted                  int
 	// wrongSpanUntil is the time until which it reports other layers than requested.
 	wrongSpanUntil time.Time
 }
@@ -419,7 +419,7 @@
 	i := slices.Index(e.prefixes, prefix)
 	if i >= 0 {
 		e.prefixes = append(slices.Delete(e.prefixes, i, i+1), prefix)
-		e.Hits++
+		e.CacheHits++
 		return true
 	}
 	e.Misses++
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -417,8 +417,8 @@
 func (x *result) prefixHitRatio() float64 {
 	hits, all := 0, 0
 	for _, e := range x.fleet.Engines() {
-		hits += e.Hits
-		all += e.Hits + e.Misses
+		hits += e.CacheHits
+		all += e.CacheHits + e.Misses
 	}
 	return float64(hits) / float64(max(1, all))
 }
