--- a/faker/engine.go
+++ b/faker/engine.go
@@ -151,8 +151,8 @@
 	reportedAt   time.Time
 	// CacheHits and Misses count prompts by whether their prefix was cached, Crashes counts the
 	// crashes by Poison, Loads counts the orders applied.
-	CacheHits, Misses, Crashes, Loads int
-	sequencesStarted                  int
+	CacheHits, CacheMisses, Crashes, Loads int
+	sequencesStarted                       int
 	// wrongSpanUntil is the time until which it reports other layers than requested.
 	wrongSpanUntil time.Time
 }
@@ -422,7 +422,7 @@
 		e.CacheHits++
 		return true
 	}
-	e.Misses++
+	e.CacheMisses++
 	e.prefixes = append(e.prefixes, prefix)
 	if len(e.prefixes) > maxCachedPrefixes {
 		e.prefixes = e.prefixes[1:]
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -418,7 +418,7 @@
 	hits, all := 0, 0
 	for _, e := range x.fleet.Engines() {
 		hits += e.CacheHits
-		all += e.CacheHits + e.Misses
+		all += e.CacheHits + e.CacheMisses
 	}
 	return float64(hits) / float64(max(1, all))
 }
