--- a/faker/engine.go
+++ b/faker/engine.go
@@ -151,8 +151,8 @@
 	reportedAt   time.Time
 	// CacheHits and Misses count prompts by whether their prefix was cached, Crashes counts the
 	// crashes by Poison, Loads counts the orders applied.
-	CacheHits, CacheMisses, Crashes, Loads int
-	sequencesStarted                       int
+	CacheHits, CacheMisses, Crashes, OrdersApplied int
+	sequencesStarted                               int
 	// wrongSpanUntil is the time until which it reports other layers than requested.
 	wrongSpanUntil time.Time
 }
@@ -472,7 +472,7 @@
 	}
 	e.highestFence = max(e.highestFence, o.Fence)
 	e.loaded = o.Target
-	e.Loads++
+	e.OrdersApplied++
 	return nil
 }
 
