--- a/faker/engine.go
+++ b/faker/engine.go
@@ -448,8 +448,8 @@
 	return e.running
 }
 
-// Begun returns the number of sequences that this engine has run a layer for.
-func (e *Engine) Begun() int {
+// SequencesStarted returns the number of sequences that this engine has run a layer for.
+func (e *Engine) SequencesStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.sequencesStarted
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -24,12 +24,12 @@
 	stop := b.load(1, 10, func(reply) {})
 	defer stop()
 	time.Sleep(2 * time.Second)
-	is.New(b.t).True(e.Begun() > 0)
+	is.New(b.t).True(e.SequencesStarted() > 0)
 	leave()
 	time.Sleep(leavingWithin)
-	before := e.Begun()
+	before := e.SequencesStarted()
 	time.Sleep(8 * time.Second)
-	is.New(b.t).Equal(e.Begun(), before)
+	is.New(b.t).Equal(e.SequencesStarted(), before)
 }
 
 // TestLeavingSeen. An engine says itself that it leaves: probes and answers tell
@@ -87,10 +87,10 @@
 		e.Leave()
 		time.Sleep(5 * time.Second)
 		is.New(t).NoErr(b.world.Restart("port-front-0"))
-		before := e.Begun()
+		before := e.SequencesStarted()
 		stop := b.load(1, 10, func(reply) {})
 		defer stop()
-		b.await(10*time.Second, func() bool { return e.Begun() > before })
+		b.await(10*time.Second, func() bool { return e.SequencesStarted() > before })
 	})
 }
 
