--- a/faker/engine.go
+++ b/faker/engine.go
@@ -157,9 +157,9 @@
 	wrongSpanUntil time.Time
 }
 
-// MidRangeFor makes the engine report other layers than requested for d, as an engine does that is
+// ReportWrongSpanFor makes the engine report other layers than requested for d, as an engine does that is
 // reloaded in mid-stream.
-func (e *Engine) MidRangeFor(d time.Duration) {
+func (e *Engine) ReportWrongSpanFor(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.wrongSpanUntil = time.Now().Add(d)
--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -69,7 +69,7 @@
 // TestStageReloaded guards against tokens from layers that a reloaded stage skipped.
 func TestStageReloaded(t *testing.T) {
 	run(t, 12, func(b *bench) {
-		b.disturb(func(e *faker.Engine) { e.MidRangeFor(5 * time.Second) })
+		b.disturb(func(e *faker.Engine) { e.ReportWrongSpanFor(5 * time.Second) })
 		b.disturb(func(e *faker.Engine) {
 			is.New(t).NoErr(e.Order(planner.Order{Fence: 1000, Target: planner.Target{Model: "m", Version: "other"}}))
 		})
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -228,7 +228,7 @@
 	case 10:
 		c.reconfigure()
 	case 11:
-		e.MidRangeFor(d)
+		e.ReportWrongSpanFor(d)
 	}
 }
 
