--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	defer w.Close()
-	w.Fleet.MaxLoadAge, w.HostList.Lag = lag, lag
+	w.Fleet.MaxLoadAge, w.HostList.Delay = lag, lag
 	kill, err := faker.Serve(listen, control, w.Control())
 	if err != nil {
 		return err
--- a/faker/service.go
+++ b/faker/service.go
@@ -111,8 +111,8 @@
 
 // HostList is the platform's list of hosts. Changes become visible after a delay.
 type HostList struct {
-	// Lag is the time until a change becomes visible.
-	Lag time.Duration
+	// Delay is the time until a change becomes visible.
+	Delay time.Duration
 
 	mu      sync.Mutex
 	hosts   map[string]prober.ListedHost
@@ -129,7 +129,7 @@
 func (l *HostList) Set(host prober.ListedHost) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, hostChange{time.Now().Add(l.Lag), host})
+	l.changes = append(l.changes, hostChange{time.Now().Add(l.Delay), host})
 }
 
 // Handler returns the HTTP API of the list.
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -68,7 +68,7 @@
 // the engine's own refusal, which costs each one request that never ran there.
 func TestLeavingGossipCut(t *testing.T) {
 	run(t, 33, func(b *bench) {
-		b.world.HostList.Lag = time.Minute
+		b.world.HostList.Delay = time.Minute
 		for i := range 4 {
 			for j := range i {
 				b.net.Partition(fmt.Sprintf("peer%d", i), fmt.Sprintf("peer%d", j))
