--- a/faker/service.go
+++ b/faker/service.go
@@ -66,9 +66,9 @@
 	return n
 }
 
-// FailWhen makes calls for which f returns true break the connection after they were executed; nil
+// DropResponseWhen makes calls for which f returns true break the connection after they were executed; nil
 // means none.
-func (s *Service) FailWhen(f func(r *http.Request) bool) {
+func (s *Service) DropResponseWhen(f func(r *http.Request) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropResponse = f
--- a/runner/once_test.go
+++ b/runner/once_test.go
@@ -140,9 +140,9 @@
 // before the answer. Retrying it on another instance booked it twice.
 func TestAnswerLostUpstream(t *testing.T) {
 	run(t, 25, func(b *bench) {
-		b.world.Services["desk"].FailWhen(func(*http.Request) bool { return true })
+		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		b.assertRefused(b.post(0, bookings, booking("lot"), nil), "outcomeUnknown", false)
-		b.world.Services["desk"].FailWhen(nil)
+		b.world.Services["desk"].DropResponseWhen(nil)
 		b.await(5*time.Second, func() bool {
 			r := b.post(1, bookings, booking("lot"), nil)
 			return r.refuse != nil && r.refuse.Reason == "outcomeUnknown"
@@ -188,7 +188,7 @@
 func TestKeyedEmptyBody(t *testing.T) {
 	run(t, 28, func(b *bench) {
 		fail := false
-		b.world.Services["desk"].FailWhen(func(*http.Request) bool { return fail })
+		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return fail })
 		for n := range 6 {
 			fail = n%2 == 1
 			b.post(0, bookings, "", map[string]string{"Idempotency-Key": fmt.Sprint("k", n)})
@@ -201,7 +201,7 @@
 // key. It is sent at most once, whatever happens.
 func TestSingleShot(t *testing.T) {
 	run(t, 29, func(b *bench) {
-		b.world.Services["desk"].FailWhen(func(*http.Request) bool { return true })
+		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		b.assertRefused(b.post(0, "/services/desk/once", "{}", nil), "outcomeUnknown", false)
 		b.assertOnce("")
 	})
--- a/runner/refusal_test.go
+++ b/runner/refusal_test.go
@@ -169,7 +169,7 @@
 // near what callers send.
 func TestRetryBudget(t *testing.T) {
 	run(t, 48, func(b *bench) {
-		b.world.Services["desk"].FailWhen(func(*http.Request) bool { return true })
+		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		sent := 0
 		for n := range 300 {
 			r := b.post(n%4, "/services/desk/search", fmt.Sprintf(`{"n":%d}`, n), map[string]string{"Deadline-Ms": "3000"})
