--- a/faker/service.go
+++ b/faker/service.go
@@ -55,8 +55,8 @@
 	return s.requests[id]
 }
 
-// Total returns the number of calls received.
-func (s *Service) Total() int {
+// TotalRequests returns the number of calls received.
+func (s *Service) TotalRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/runner/refusal_test.go
+++ b/runner/refusal_test.go
@@ -177,7 +177,7 @@
 			sent++
 			time.Sleep(200 * time.Millisecond)
 		}
-		reached := b.world.Services["desk"].Total()
+		reached := b.world.Services["desk"].TotalRequests()
 		t.Logf("%d calls came to the service from %d requests", reached, sent)
 		is.New(t).True(reached <= sent+4*20)
 	})
