--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -86,8 +86,8 @@
 // away.
 func devControl(source *faker.Directory, stages map[string]*faker.Stage) http.Handler {
 	// A request that is turned away is sent again three times.
-	full := slices.Repeat([]faker.Trouble{faker.TroubleFull}, 4)
-	troubles := map[string][]faker.Trouble{"/cut": {faker.TroubleCut}, "/reset": {faker.TroubleReset}, "/full": full}
+	full := slices.Repeat([]faker.StageFault{faker.TroubleFull}, 4)
+	troubles := map[string][]faker.StageFault{"/cut": {faker.TroubleCut}, "/reset": {faker.TroubleReset}, "/full": full}
 	mux := http.NewServeMux()
 	for path, trouble := range troubles {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -14,13 +14,13 @@
 	"github.com/sardineward/sardineward/forwarder"
 )
 
-// Trouble is the fault that a Stage applies to a request.
-type Trouble int
+// StageFault is the fault that a Stage applies to a request.
+type StageFault int
 
 // Faults of a Stage.
 const (
 	// TroubleNone answers normally.
-	TroubleNone Trouble = iota
+	TroubleNone StageFault = iota
 	// TroubleFull refuses the request as not executed.
 	TroubleFull
 	// TroubleReset executes the request and breaks the connection.
@@ -54,7 +54,7 @@
 
 	mu        sync.Mutex
 	limits    limitHistory
-	faults    []Trouble
+	faults    []StageFault
 	received  []Seen
 	abandoned int
 }
@@ -80,7 +80,7 @@
 }
 
 // Trouble sets the faults of the next requests, one for each request.
-func (s *Stage) Trouble(list ...Trouble) {
+func (s *Stage) Trouble(list ...StageFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = list
@@ -112,7 +112,7 @@
 }
 
 // receive records a request and returns the fault to apply to it.
-func (s *Stage) receive(r *http.Request, body string) Trouble {
+func (s *Stage) receive(r *http.Request, body string) StageFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := TroubleNone
@@ -212,7 +212,7 @@
 }
 
 // serveStream streams the events after the one that Last-Event-Id names.
-func (s *Stage) serveStream(w http.ResponseWriter, r *http.Request, t Trouble) {
+func (s *Stage) serveStream(w http.ResponseWriter, r *http.Request, t StageFault) {
 	ctl := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -191,7 +191,7 @@
 
 // injectFaults sets the faults that each upstream of a service applies to its next requests, one
 // for each request.
-func (b *testbed) injectFaults(service string, list ...faker.Trouble) {
+func (b *testbed) injectFaults(service string, list ...faker.StageFault) {
 	for id, s := range b.stages {
 		if strings.HasPrefix(id, service) {
 			s.Trouble(list...)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -106,7 +106,7 @@
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
 		const perSecond, seconds, patience = 40, 10, 2 * time.Second
-		faults := make([]faker.Trouble, perSecond*seconds)
+		faults := make([]faker.StageFault, perSecond*seconds)
 		for i := range faults {
 			faults[i] = faker.TroubleSilent
 		}
@@ -130,7 +130,7 @@
 }
 
 func TestLookupRetried(t *testing.T) {
-	for name, fault := range map[string]faker.Trouble{
+	for name, fault := range map[string]faker.StageFault{
 		"reset": faker.TroubleReset, "status 500": faker.TroubleFailed, "no signature": faker.TroubleUnsigned,
 	} {
 		t.Run(name, func(t *testing.T) {
