--- a/faker/stage.go
+++ b/faker/stage.go
@@ -19,8 +19,8 @@
 
 // Faults of a Stage.
 const (
-	// TroubleNone answers normally.
-	TroubleNone StageFault = iota
+	// StageFaultNone answers normally.
+	StageFaultNone StageFault = iota
 	// TroubleFull refuses the request as not executed.
 	TroubleFull
 	// TroubleReset executes the request and breaks the connection.
@@ -115,7 +115,7 @@
 func (s *Stage) receive(r *http.Request, body string) StageFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := TroubleNone
+	t := StageFaultNone
 	if len(s.faults) > 0 {
 		t, s.faults = s.faults[0], s.faults[1:]
 	}
