--- a/faker/stage.go
+++ b/faker/stage.go
@@ -21,8 +21,8 @@
 const (
 	// StageFaultNone answers normally.
 	StageFaultNone StageFault = iota
-	// TroubleFull refuses the request as not executed.
-	TroubleFull
+	// StageFaultOverloaded refuses the request as not executed.
+	StageFaultOverloaded
 	// TroubleReset executes the request and breaks the connection.
 	TroubleReset
 	// TroubleFailed executes the request and responds with status 500.
@@ -130,7 +130,7 @@
 		Body:        body,
 		LastEventID: r.Header.Get("Last-Event-Id"),
 		DeadlineMs:  left,
-		Ran:         t != TroubleFull,
+		Ran:         t != StageFaultOverloaded,
 		From:        r.RemoteAddr,
 		At:          time.Now(),
 	})
@@ -157,7 +157,7 @@
 	w.Header().Set(h.Load, "1,0,8")
 	s.setLimitHeader(w.Header(), h.Limit)
 	switch t {
-	case TroubleFull:
+	case StageFaultOverloaded:
 		w.Header().Set(h.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case TroubleReset:
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -87,13 +87,13 @@
 func TestRejectedBookingRetried(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.stages["desk-a"].Trouble(faker.TroubleFull, faker.TroubleFull, faker.TroubleFull)
+		b.stages["desk-a"].Trouble(faker.StageFaultOverloaded, faker.StageFaultOverloaded, faker.StageFaultOverloaded)
 		for n := range 6 {
 			id := fmt.Sprint("r", n)
 			is.Equal(b.request(http.MethodPost, "/book/1", id, nil).status, http.StatusOK)
 			is.Equal(b.runs(id), 1)
 		}
-		b.injectFaults("desk", faker.TroubleFull, faker.TroubleFull, faker.TroubleFull, faker.TroubleFull)
+		b.injectFaults("desk", faker.StageFaultOverloaded, faker.StageFaultOverloaded, faker.StageFaultOverloaded, faker.StageFaultOverloaded)
 		r := b.request(http.MethodPost, "/book/1", "full", nil)
 		b.assertRetryLater(r)
 		is.Equal(b.runs("full"), 0) // the refusal says that it was not executed
