--- a/faker/stage.go
+++ b/faker/stage.go
@@ -23,8 +23,8 @@
 	StageFaultNone StageFault = iota
 	// StageFaultOverloaded refuses the request as not executed.
 	StageFaultOverloaded
-	// TroubleReset executes the request and breaks the connection.
-	TroubleReset
+	// StageFaultReset executes the request and breaks the connection.
+	StageFaultReset
 	// TroubleFailed executes the request and responds with status 500.
 	TroubleFailed
 	// TroubleForeign sends a response to another request before the right one.
@@ -160,7 +160,7 @@
 	case StageFaultOverloaded:
 		w.Header().Set(h.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case TroubleReset:
+	case StageFaultReset:
 		panic(http.ErrAbortHandler)
 	case TroubleSilent:
 		s.waitForDisconnect(r)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -71,7 +71,7 @@
 func TestBookingAtMostOnce(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.injectFaults("desk", faker.TroubleReset)
+		b.injectFaults("desk", faker.StageFaultReset)
 		r := b.request(http.MethodPost, "/book/1", "lost", nil)
 		is.Equal(r.status, http.StatusBadGateway) // it may have been executed
 		is.Equal(b.runs("lost"), 1)
@@ -131,7 +131,7 @@
 
 func TestLookupRetried(t *testing.T) {
 	for name, fault := range map[string]faker.StageFault{
-		"reset": faker.TroubleReset, "status 500": faker.TroubleFailed, "no signature": faker.TroubleUnsigned,
+		"reset": faker.StageFaultReset, "status 500": faker.TroubleFailed, "no signature": faker.TroubleUnsigned,
 	} {
 		t.Run(name, func(t *testing.T) {
 			runHost(t, 0, func(b *testbed) {
