--- a/faker/stage.go
+++ b/faker/stage.go
@@ -25,8 +25,8 @@
 	StageFaultOverloaded
 	// StageFaultReset executes the request and breaks the connection.
 	StageFaultReset
-	// TroubleFailed executes the request and responds with status 500.
-	TroubleFailed
+	// StageFaultStatus500 executes the request and responds with status 500.
+	StageFaultStatus500
 	// TroubleForeign sends a response to another request before the right one.
 	TroubleForeign
 	// TroubleUnsigned responds without the signature in the header Stamp.
@@ -164,7 +164,7 @@
 		panic(http.ErrAbortHandler)
 	case TroubleSilent:
 		s.waitForDisconnect(r)
-	case TroubleFailed:
+	case StageFaultStatus500:
 		http.Error(w, "failed", http.StatusInternalServerError)
 	case TroubleForeign:
 		s.serveWrongResponse(w, r)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -75,7 +75,7 @@
 		r := b.request(http.MethodPost, "/book/1", "lost", nil)
 		is.Equal(r.status, http.StatusBadGateway) // it may have been executed
 		is.Equal(b.runs("lost"), 1)
-		b.injectFaults("desk", faker.TroubleFailed)
+		b.injectFaults("desk", faker.StageFaultStatus500)
 		r = b.request(http.MethodPost, "/book/2", "failed", nil)
 		is.Equal(r.status, http.StatusInternalServerError) // the upstream's response is passed on
 		is.Equal(b.runs("failed"), 1)
@@ -131,7 +131,7 @@
 
 func TestLookupRetried(t *testing.T) {
 	for name, fault := range map[string]faker.StageFault{
-		"reset": faker.StageFaultReset, "status 500": faker.TroubleFailed, "no signature": faker.TroubleUnsigned,
+		"reset": faker.StageFaultReset, "status 500": faker.StageFaultStatus500, "no signature": faker.TroubleUnsigned,
 	} {
 		t.Run(name, func(t *testing.T) {
 			runHost(t, 0, func(b *testbed) {
