--- a/faker/stage.go
+++ b/faker/stage.go
@@ -27,8 +27,8 @@
 	StageFaultReset
 	// StageFaultStatus500 executes the request and responds with status 500.
 	StageFaultStatus500
-	// TroubleForeign sends a response to another request before the right one.
-	TroubleForeign
+	// StageFaultWrongResponse sends a response to another request before the right one.
+	StageFaultWrongResponse
 	// TroubleUnsigned responds without the signature in the header Stamp.
 	TroubleUnsigned
 	// TroubleCut breaks the connection in the middle of the third event of a stream.
@@ -166,7 +166,7 @@
 		s.waitForDisconnect(r)
 	case StageFaultStatus500:
 		http.Error(w, "failed", http.StatusInternalServerError)
-	case TroubleForeign:
+	case StageFaultWrongResponse:
 		s.serveWrongResponse(w, r)
 	default:
 		if strings.HasPrefix(r.URL.Path, "/stream/") {
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -151,7 +151,7 @@
 // another request.
 func TestResponseOfOtherRequest(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
-		b.injectFaults("desk", faker.TroubleForeign)
+		b.injectFaults("desk", faker.StageFaultWrongResponse)
 		r := b.request(http.MethodPost, "/book/1", "mine", nil)
 		is.New(t).Equal(r.body, "answer to mine")
 	})
