--- a/faker/stage.go
+++ b/faker/stage.go
@@ -29,8 +29,8 @@
 	StageFaultStatus500
 	// StageFaultWrongResponse sends a response to another request before the right one.
 	StageFaultWrongResponse
-	// TroubleUnsigned responds without the signature in the header Stamp.
-	TroubleUnsigned
+	// StageFaultUnsigned responds without the signature in the header Stamp.
+	StageFaultUnsigned
 	// TroubleCut breaks the connection in the middle of the third event of a stream.
 	TroubleCut
 	// TroubleSilent executes the request and never responds.
@@ -151,7 +151,7 @@
 		return
 	}
 	w.Header().Set(h.RequestID, r.Header.Get(h.RequestID))
-	if t != TroubleUnsigned {
+	if t != StageFaultUnsigned {
 		w.Header().Set(h.Stamp, "stamp-"+s.ID)
 	}
 	w.Header().Set(h.Load, "1,0,8")
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -131,7 +131,7 @@
 
 func TestLookupRetried(t *testing.T) {
 	for name, fault := range map[string]faker.StageFault{
-		"reset": faker.StageFaultReset, "status 500": faker.StageFaultStatus500, "no signature": faker.TroubleUnsigned,
+		"reset": faker.StageFaultReset, "status 500": faker.StageFaultStatus500, "no signature": faker.StageFaultUnsigned,
 	} {
 		t.Run(name, func(t *testing.T) {
 			runHost(t, 0, func(b *testbed) {
