--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -87,7 +87,7 @@
 func devControl(source *faker.Directory, stages map[string]*faker.Stage) http.Handler {
 	// A request that is turned away is sent again three times.
 	full := slices.Repeat([]faker.StageFault{faker.StageFaultOverloaded}, 4)
-	troubles := map[string][]faker.StageFault{"/cut": {faker.TroubleCut}, "/reset": {faker.StageFaultReset}, "/full": full}
+	troubles := map[string][]faker.StageFault{"/cut": {faker.StageFaultBrokenStream}, "/reset": {faker.StageFaultReset}, "/full": full}
 	mux := http.NewServeMux()
 	for path, trouble := range troubles {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -31,8 +31,8 @@
 	StageFaultWrongResponse
 	// StageFaultUnsigned responds without the signature in the header Stamp.
 	StageFaultUnsigned
-	// TroubleCut breaks the connection in the middle of the third event of a stream.
-	TroubleCut
+	// StageFaultBrokenStream breaks the connection in the middle of the third event of a stream.
+	StageFaultBrokenStream
 	// TroubleSilent executes the request and never responds.
 	TroubleSilent
 )
@@ -223,7 +223,7 @@
 			return
 		case <-time.After(s.Gap):
 		}
-		if t == TroubleCut && n == from+3 {
+		if t == StageFaultBrokenStream && n == from+3 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
 			_ = ctl.Flush()
 			panic(http.ErrAbortHandler)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -162,7 +162,7 @@
 func TestStreamResumed(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.injectFaults("model", faker.TroubleCut)
+		b.injectFaults("model", faker.StageFaultBrokenStream)
 		b.assertCompleteStream(b.request(http.MethodPost, "/stream/1", "r1", nil))
 		is.True(b.runs("r1") >= 2)
 	})
@@ -177,7 +177,7 @@
 			defer b.startUpstream(id)()
 		}
 		time.Sleep(time.Second)
-		b.injectFaults("model", faker.TroubleCut)
+		b.injectFaults("model", faker.StageFaultBrokenStream)
 		b.assertCompleteStream(b.request(http.MethodPost, "/stream/1", "r1", nil))
 		upstreams := 0
 		for _, s := range b.stages {
@@ -194,7 +194,7 @@
 func TestStreamNotResumable(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.injectFaults("model", faker.TroubleCut)
+		b.injectFaults("model", faker.StageFaultBrokenStream)
 		r := b.request(http.MethodPost, "/stream/once/1", "r1", nil)
 		is.True(r.err != nil)
 		is.Equal(r.body, events(1, 2)) // complete events only
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -433,7 +433,7 @@
 // troubleUpstream makes a random upstream fail its next requests in random ways.
 func troubleUpstream(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
 	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
-	list := []faker.StageFault{faker.StageFaultOverloaded, faker.StageFaultReset, faker.StageFaultStatus500, faker.StageFaultWrongResponse, faker.StageFaultUnsigned, faker.TroubleCut}
+	list := []faker.StageFault{faker.StageFaultOverloaded, faker.StageFaultReset, faker.StageFaultStatus500, faker.StageFaultWrongResponse, faker.StageFaultUnsigned, faker.StageFaultBrokenStream}
 	r.recordFault("trouble "+u.ID, -1, 0, false)
 	next := make([]faker.StageFault, troublesInRow)
 	for n := range next {
