--- a/faker/stage.go
+++ b/faker/stage.go
@@ -33,8 +33,8 @@
 	StageFaultUnsigned
 	// StageFaultBrokenStream breaks the connection in the middle of the third event of a stream.
 	StageFaultBrokenStream
-	// TroubleSilent executes the request and never responds.
-	TroubleSilent
+	// StageFaultSilent executes the request and never responds.
+	StageFaultSilent
 )
 
 // Stage is a fake upstream that implements http.Handler. It streams events for paths below
@@ -162,7 +162,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case StageFaultReset:
 		panic(http.ErrAbortHandler)
-	case TroubleSilent:
+	case StageFaultSilent:
 		s.waitForDisconnect(r)
 	case StageFaultStatus500:
 		http.Error(w, "failed", http.StatusInternalServerError)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -108,7 +108,7 @@
 		const perSecond, seconds, patience = 40, 10, 2 * time.Second
 		faults := make([]faker.StageFault, perSecond*seconds)
 		for i := range faults {
-			faults[i] = faker.TroubleSilent
+			faults[i] = faker.StageFaultSilent
 		}
 		b.injectFaults("model", faults...)
 		var refused atomic.Int64
@@ -213,7 +213,7 @@
 func TestCallerDisconnects(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.injectFaults("model", faker.TroubleSilent)
+		b.injectFaults("model", faker.StageFaultSilent)
 		b.client.Timeout = 300 * time.Millisecond
 		is.True(b.request(http.MethodPost, "/stream/1", "r1", nil).err != nil)
 		time.Sleep(100 * time.Millisecond)
@@ -225,7 +225,7 @@
 func TestTimeout(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.injectFaults("desk", faker.TroubleSilent)
+		b.injectFaults("desk", faker.StageFaultSilent)
 		r := b.request(http.MethodPost, "/short/1", "r1", nil)
 		is.Equal(r.status, http.StatusGatewayTimeout)
 		is.Equal(r.took.Round(10*time.Millisecond), 800*time.Millisecond)
