--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -92,7 +92,7 @@
 	for path, trouble := range troubles {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
 			for _, s := range stages {
-				s.Trouble(trouble...)
+				s.SetFaults(trouble...)
 			}
 		})
 	}
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -79,8 +79,8 @@
 	return &forwarder.DefaultHeaders
 }
 
-// Trouble sets the faults of the next requests, one for each request.
-func (s *Stage) Trouble(list ...StageFault) {
+// SetFaults sets the faults of the next requests, one for each request.
+func (s *Stage) SetFaults(list ...StageFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = list
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -194,7 +194,7 @@
 func (b *testbed) injectFaults(service string, list ...faker.StageFault) {
 	for id, s := range b.stages {
 		if strings.HasPrefix(id, service) {
-			s.Trouble(list...)
+			s.SetFaults(list...)
 		}
 	}
 }
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -87,7 +87,7 @@
 func TestRejectedBookingRetried(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.stages["desk-a"].Trouble(faker.StageFaultOverloaded, faker.StageFaultOverloaded, faker.StageFaultOverloaded)
+		b.stages["desk-a"].SetFaults(faker.StageFaultOverloaded, faker.StageFaultOverloaded, faker.StageFaultOverloaded)
 		for n := range 6 {
 			id := fmt.Sprint("r", n)
 			is.Equal(b.request(http.MethodPost, "/book/1", id, nil).status, http.StatusOK)
@@ -136,7 +136,7 @@
 		t.Run(name, func(t *testing.T) {
 			runHost(t, 0, func(b *testbed) {
 				is := is.New(t)
-				b.stages["desk-a"].Trouble(fault, fault, fault, fault)
+				b.stages["desk-a"].SetFaults(fault, fault, fault, fault)
 				for n := range 4 {
 					id := fmt.Sprint("r", n)
 					is.Equal(b.request(http.MethodGet, "/look/1", id, nil).status, http.StatusOK)
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -439,7 +439,7 @@
 	for n := range next {
 		next[n] = list[rnd.IntN(len(list))]
 	}
-	u.stage.Trouble(next...)
+	u.stage.SetFaults(next...)
 }
 
 // limitUpstream makes a random upstream name a low limit on the rate of requests from all hosts
