--- a/faker/limit.go
+++ b/faker/limit.go
@@ -73,7 +73,7 @@
 // announcement are skipped. If the limit changed in a window, the highest applies. host returns
 // the name of the host that sent a request, or empty for requests that don't count.
 func (s *Stage) LimitBreaks(host func(one *Seen) string) []LimitBreak {
-	seen := s.Seen()
+	seen := s.Received()
 	slices.SortStableFunc(seen, func(a, b Seen) int { return a.At.Compare(b.At) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -86,8 +86,8 @@
 	s.faults = list
 }
 
-// Seen returns all requests received, in order.
-func (s *Stage) Seen() []Seen {
+// Received returns all requests received, in order.
+func (s *Stage) Received() []Seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Seen(nil), s.received...)
@@ -96,7 +96,7 @@
 // Runs returns how often a request with an id was executed.
 func (s *Stage) Runs(id string) int {
 	n := 0
-	for _, one := range s.Seen() {
+	for _, one := range s.Received() {
 		if one.RequestID == id && one.Ran {
 			n++
 		}
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -212,7 +212,7 @@
 func (b *testbed) executedRequest(id string) faker.Seen {
 	b.t.Helper()
 	for _, s := range b.stages {
-		for _, one := range s.Seen() {
+		for _, one := range s.Received() {
 			if one.RequestID == id && one.Ran {
 				return one
 			}
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -148,7 +148,7 @@
 // served returns the number of requests that an upstream executed after a time.
 func (fl *fleet) served(id string, since time.Time) int {
 	n := 0
-	for _, one := range fl.stages[id].Seen() {
+	for _, one := range fl.stages[id].Received() {
 		if one.Ran && one.At.After(since) {
 			n++
 		}
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -274,11 +274,11 @@
 		b.source.Compact()
 		b.source.PutUpstream(balancer.Upstream{ID: "desk-a", Service: "desk", Address: "10.1.0.desk-a:80", DataCentre: "here", Slots: 8, Leaving: true})
 		time.Sleep(2 * time.Second)
-		before := len(b.stages["desk-a"].Seen())
+		before := len(b.stages["desk-a"].Received())
 		for n := range 10 {
 			is.Equal(b.request(http.MethodGet, "/look/1", fmt.Sprint("r", n), nil).status, http.StatusOK)
 		}
-		is.Equal(len(b.stages["desk-a"].Seen()), before)
+		is.Equal(len(b.stages["desk-a"].Received()), before)
 	})
 }
 
--- a/launcher/restore_test.go
+++ b/launcher/restore_test.go
@@ -58,7 +58,7 @@
 			f(is.NewRelaxed(t), r)
 			cancel()
 			for id, at := range r.leftAt {
-				for _, one := range r.stages[id].Seen() {
+				for _, one := range r.stages[id].Received() {
 					if late := one.At.Sub(at); late > leaveGrace {
 						t.Errorf("host %q sent upstream %q a request %v after its leave, expected at most %v", one.From, id, late, leaveGrace)
 						break
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -98,7 +98,7 @@
 	report := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	runs := make(map[string]int)
 	for _, u := range cl.upstreams {
-		for _, s := range u.stage.Seen() {
+		for _, s := range u.stage.Received() {
 			if s.Ran {
 				runs[s.RequestID]++
 			}
@@ -246,7 +246,7 @@
 			continue
 		}
 		at = h.writtenAt(at)
-		for _, s := range u.stage.Seen() {
+		for _, s := range u.stage.Received() {
 			if s.At.After(at.Add(leaveTimeout)) && h.connected(hosts[s.RequestID], at.Add(-settleTime), s.At) {
 				report("upstream %s got request %s from host %d, %v after it began to leave", u.ID, s.RequestID, hosts[s.RequestID], s.At.Sub(at))
 			}
