--- a/faker/limit.go
+++ b/faker/limit.go
@@ -72,9 +72,9 @@
 // the limit sent more requests than it allows. Windows that end within limitGrace of the first
 // announcement are skipped. If the limit changed in a window, the highest applies. host returns
 // the name of the host that sent a request, or empty for requests that don't count.
-func (s *Stage) LimitBreaks(host func(one *Seen) string) []LimitBreak {
+func (s *Stage) LimitBreaks(host func(one *ReceivedRequest) string) []LimitBreak {
 	seen := s.Received()
-	slices.SortStableFunc(seen, func(a, b Seen) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(seen, func(a, b ReceivedRequest) int { return a.At.Compare(b.At) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []LimitBreak
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -55,12 +55,12 @@
 	mu        sync.Mutex
 	limits    limitHistory
 	faults    []StageFault
-	received  []Seen
+	received  []ReceivedRequest
 	abandoned int
 }
 
-// Seen is a request as a Stage received it.
-type Seen struct {
+// ReceivedRequest is a request as a Stage received it.
+type ReceivedRequest struct {
 	RequestID, Workspace, Path, Key, Target, Body string
 	LastEventID                                   string
 	DeadlineMs                                    int
@@ -87,10 +87,10 @@
 }
 
 // Received returns all requests received, in order.
-func (s *Stage) Received() []Seen {
+func (s *Stage) Received() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Seen(nil), s.received...)
+	return append([]ReceivedRequest(nil), s.received...)
 }
 
 // Runs returns how often a request with an id was executed.
@@ -121,7 +121,7 @@
 	}
 	h := s.headers()
 	left, _ := strconv.Atoi(r.Header.Get(h.DeadlineMs))
-	s.received = append(s.received, Seen{
+	s.received = append(s.received, ReceivedRequest{
 		RequestID:   r.Header.Get(h.RequestID),
 		Workspace:   r.Header.Get(h.Workspace),
 		Path:        r.Header.Get(h.Path),
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -209,7 +209,7 @@
 }
 
 // executedRequest returns the request with an id as the upstream that executed it received it.
-func (b *testbed) executedRequest(id string) faker.Seen {
+func (b *testbed) executedRequest(id string) faker.ReceivedRequest {
 	b.t.Helper()
 	for _, s := range b.stages {
 		for _, one := range s.Received() {
@@ -219,7 +219,7 @@
 		}
 	}
 	b.t.Fatalf("request %q was executed by no upstream", id)
-	return faker.Seen{}
+	return faker.ReceivedRequest{}
 }
 
 // assertRetryLater checks that r is a 503 with a Retry-After header.
