--- a/faker/stage.go
+++ b/faker/stage.go
@@ -64,8 +64,8 @@
 	RequestID, Workspace, Path, Key, Target, Body string
 	LastEventID                                   string
 	DeadlineMs                                    int
-	// Ran is false if the request was refused as not executed.
-	Ran bool
+	// Executed is false if the request was refused as not executed.
+	Executed bool
 	// From is the address of the sender, in a Network the location that dialled.
 	From string
 	// At is the time at which it was received.
@@ -97,7 +97,7 @@
 func (s *Stage) Runs(id string) int {
 	n := 0
 	for _, one := range s.Received() {
-		if one.RequestID == id && one.Ran {
+		if one.RequestID == id && one.Executed {
 			n++
 		}
 	}
@@ -130,7 +130,7 @@
 		Body:        body,
 		LastEventID: r.Header.Get("Last-Event-Id"),
 		DeadlineMs:  left,
-		Ran:         t != StageFaultOverloaded,
+		Executed:    t != StageFaultOverloaded,
 		From:        r.RemoteAddr,
 		At:          time.Now(),
 	})
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -213,7 +213,7 @@
 	b.t.Helper()
 	for _, s := range b.stages {
 		for _, one := range s.Received() {
-			if one.RequestID == id && one.Ran {
+			if one.RequestID == id && one.Executed {
 				return one
 			}
 		}
--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -149,7 +149,7 @@
 func (fl *fleet) served(id string, since time.Time) int {
 	n := 0
 	for _, one := range fl.stages[id].Received() {
-		if one.Ran && one.At.After(since) {
+		if one.Executed && one.At.After(since) {
 			n++
 		}
 	}
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -99,7 +99,7 @@
 	runs := make(map[string]int)
 	for _, u := range cl.upstreams {
 		for _, s := range u.stage.Received() {
-			if s.Ran {
+			if s.Executed {
 				runs[s.RequestID]++
 			}
 			if s.Key != "" {
