--- a/faker/stage.go
+++ b/faker/stage.go
@@ -104,8 +104,8 @@
 	return n
 }
 
-// Gone returns the number of callers that disconnected before the end of their response.
-func (s *Stage) Gone() int {
+// Abandoned returns the number of callers that disconnected before the end of their response.
+func (s *Stage) Abandoned() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.abandoned
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -217,7 +217,7 @@
 		b.client.Timeout = 300 * time.Millisecond
 		is.True(b.request(http.MethodPost, "/stream/1", "r1", nil).err != nil)
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(b.stages["model-a"].Gone()+b.stages["model-b"].Gone(), 1)
+		is.Equal(b.stages["model-a"].Abandoned()+b.stages["model-b"].Abandoned(), 1)
 	})
 }
 
