--- a/faker/stage.go
+++ b/faker/stage.go
@@ -44,8 +44,8 @@
 	// Headers holds the header names that it uses; nil means forwarder.DefaultHeaders.
 	Headers *forwarder.Headers
 	// Events is the number of events in a stream, Gap the time before each of them.
-	Events int
-	Gap    time.Duration
+	Events        int
+	EventInterval time.Duration
 	// Answer is the time before a response that is not a stream.
 	Answer time.Duration
 	// Crash is called in its own goroutine for a request whose body contains Poison; nil means
@@ -221,7 +221,7 @@
 		case <-r.Context().Done():
 			s.waitForDisconnect(r)
 			return
-		case <-time.After(s.Gap):
+		case <-time.After(s.EventInterval):
 		}
 		if t == StageFaultBrokenStream && n == from+3 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -286,7 +286,7 @@
 func TestGracefulStop(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		b.stages["model-a"].Gap, b.stages["model-b"].Gap = 300*time.Millisecond, 300*time.Millisecond
+		b.stages["model-a"].EventInterval, b.stages["model-b"].EventInterval = 300*time.Millisecond, 300*time.Millisecond
 		stream := make(chan reply, 1)
 		go func() { stream <- b.request(http.MethodPost, "/stream/1", "r1", nil) }()
 		time.Sleep(time.Second)
