--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -35,7 +35,7 @@
 	source.Configure(cfg)
 	stages := make(map[string]*faker.Stage)
 	for i, id := range []string{"desk-a", "desk-b", "model-a", "model-b"} {
-		stages[id] = &faker.Stage{ID: id, Events: 20, EventInterval: 200 * time.Millisecond, Answer: 20 * time.Millisecond}
+		stages[id] = &faker.Stage{ID: id, Events: 20, EventInterval: 200 * time.Millisecond, ResponseDelay: 20 * time.Millisecond}
 		kill, err := faker.Serve(listen, address(5+i), stages[id])
 		if err != nil {
 			return err
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -46,8 +46,8 @@
 	// Events is the number of events in a stream, Gap the time before each of them.
 	Events        int
 	EventInterval time.Duration
-	// Answer is the time before a response that is not a stream.
-	Answer time.Duration
+	// ResponseDelay is the time before a response that is not a stream.
+	ResponseDelay time.Duration
 	// Crash is called in its own goroutine for a request whose body contains Poison; nil means
 	// that such a request is answered like any other.
 	Crash func()
@@ -190,7 +190,7 @@
 	case <-r.Context().Done():
 		s.waitForDisconnect(r)
 		return
-	case <-time.After(s.Answer):
+	case <-time.After(s.ResponseDelay):
 	}
 	_, _ = fmt.Fprintf(w, "answer of %s to %s", s.ID, r.Header.Get(s.headers().RequestID))
 }
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -132,7 +132,7 @@
 // startUpstreamIn starts an upstream in a data centre and registers it. Its service is the part of
 // its id before the dash.
 func (b *testbed) startUpstreamIn(id, dataCentre string) (stop func()) {
-	s := &faker.Stage{ID: id, Events: 10, EventInterval: 20 * time.Millisecond, Answer: 10 * time.Millisecond}
+	s := &faker.Stage{ID: id, Events: 10, EventInterval: 20 * time.Millisecond, ResponseDelay: 10 * time.Millisecond}
 	address := "10.1.0." + id + ":80"
 	var kill atomic.Value
 	serve := func() {
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -180,7 +180,7 @@
 func (c *cluster) addUpstream(id string) error {
 	service := id[:len(id)-2]
 	u := &upstream{
-		stage:         &faker.Stage{ID: id, Headers: &platform.Headers, Events: 20, EventInterval: 50 * time.Millisecond, Answer: 100 * time.Millisecond},
+		stage:         &faker.Stage{ID: id, Headers: &platform.Headers, Events: 20, EventInterval: 50 * time.Millisecond, ResponseDelay: 100 * time.Millisecond},
 		listenAddress: c.freeAddress(),
 	}
 	u.link = &Proxy{Target: u.listenAddress}
