--- a/faker/limit.go
+++ b/faker/limit.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// LimitBreak is a window in which a Stage received more requests than its limit allows.
-type LimitBreak struct {
+// LimitViolation is a window in which a Stage received more requests than its limit allows.
+type LimitViolation struct {
 	// At is the end of the window.
 	At time.Time
 	// Got is the number of requests in the window from hosts that were informed of the limit,
@@ -72,12 +72,12 @@
 // the limit sent more requests than it allows. Windows that end within limitGrace of the first
 // announcement are skipped. If the limit changed in a window, the highest applies. host returns
 // the name of the host that sent a request, or empty for requests that don't count.
-func (s *Stage) LimitBreaks(host func(one *ReceivedRequest) string) []LimitBreak {
+func (s *Stage) LimitBreaks(host func(one *ReceivedRequest) string) []LimitViolation {
 	seen := s.Received()
 	slices.SortStableFunc(seen, func(a, b ReceivedRequest) int { return a.At.Compare(b.At) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []LimitBreak
+	var out []LimitViolation
 	var counted []time.Time
 	informed := make(map[string]time.Time)
 	for i := range seen {
@@ -98,7 +98,7 @@
 		}
 		allowed := int(limitFactor*highest*limitWindow.Seconds() + limitSlack)
 		if at.Sub(since) >= limitGrace && len(counted) > allowed {
-			out = append(out, LimitBreak{at, len(counted), allowed, highest})
+			out = append(out, LimitViolation{at, len(counted), allowed, highest})
 		}
 	}
 	return out
