--- a/faker/limit.go
+++ b/faker/limit.go
@@ -62,10 +62,10 @@
 type LimitViolation struct {
 	// At is the end of the window.
 	At time.Time
-	// Got is the number of requests in the window from hosts that were informed of the limit,
+	// Received is the number of requests in the window from hosts that were informed of the limit,
 	// Allowed the number that the limit allows.
-	Got, Allowed int
-	PerSecond    float64
+	Received, Allowed int
+	PerSecond         float64
 }
 
 // LimitBreaks returns the windows, each ending with a request, in which hosts that were informed of
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -285,8 +285,8 @@
 			return cl.hosts[host].name
 		})
 		if len(breaks) > 0 {
-			b := slices.MaxFunc(breaks, func(a, b faker.LimitViolation) int { return cmp.Compare(a.Got-a.Allowed, b.Got-b.Allowed) })
-			report("upstream %s got %d requests in 4 s at a limit of %g per second, want at most %d", u.ID, b.Got, b.PerSecond, b.Allowed)
+			b := slices.MaxFunc(breaks, func(a, b faker.LimitViolation) int { return cmp.Compare(a.Received-a.Allowed, b.Received-b.Allowed) })
+			report("upstream %s got %d requests in 4 s at a limit of %g per second, want at most %d", u.ID, b.Received, b.PerSecond, b.Allowed)
 		}
 	}
 }
