--- a/launcher/limit_test.go
+++ b/launcher/limit_test.go
@@ -27,7 +27,7 @@
 		// A failed check does not end the test, so that all hosts are stopped.
 		fl.runUnderLoad(hosts, path, perSecond, func() { f(is.NewRelaxed(t), fl) })
 		for id, s := range fl.stages {
-			for _, one := range s.LimitBreaks(func(one *faker.ReceivedRequest) string { return one.From }) {
+			for _, one := range s.LimitViolations(func(one *faker.ReceivedRequest) string { return one.From }) {
 				t.Errorf("upstream %q received %d requests in 4 s at a limit of %g/s, expected at most %d", id, one.Received, one.PerSecond, one.Allowed)
 				break
 			}
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -277,7 +277,7 @@
 		hosts[c.id] = c.host
 	}
 	for _, u := range cl.upstreams {
-		breaks := u.stage.LimitBreaks(func(one *faker.ReceivedRequest) string {
+		breaks := u.stage.LimitViolations(func(one *faker.ReceivedRequest) string {
 			host, ok := hosts[one.RequestID]
 			if !ok || !h.connected(host, one.At.Add(-settleTime), one.At) {
 				return ""
