--- a/faker/engine.go
+++ b/faker/engine.go
@@ -106,7 +106,8 @@
 	return f.attempts[requestID]
 }
 
-// SetExtraLatency adds d to the latency between two data centres, in both directions; 0 removes it.
+// SetExtraLatency makes the latency between two data centres d longer than Links says, in both
+// directions; 0 undoes that.
 func (f *Fleet) SetExtraLatency(a, b string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,16 +150,16 @@
 	prefixes     []uint64
 	reported     tracker.Load
 	reportedAt   time.Time
-	// CacheHits and Misses count prompts by whether their prefix was cached, Crashes counts the
-	// crashes by Poison, Loads counts the orders applied.
+	// CacheHits and CacheMisses count prompts by whether their prefix was cached, Crashes counts
+	// the crashes by Poison, OrdersApplied counts the accepted orders.
 	CacheHits, CacheMisses, Crashes, OrdersApplied int
 	sequencesStarted                               int
 	// wrongSpanUntil is the time until which it reports other layers than requested.
 	wrongSpanUntil time.Time
 }
 
-// ReportWrongSpanFor makes the engine report other layers than requested for d, as an engine does that is
-// reloaded in mid-stream.
+// ReportWrongSpanFor makes the engine report other layers than requested for d, as an engine does
+// that is reloaded in mid-stream.
 func (e *Engine) ReportWrongSpanFor(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -280,7 +281,7 @@
 	}
 }
 
-// Load returns the reported load, which is at most Fleet.Lag old.
+// Load returns the reported load, which is at most Fleet.MaxLoadAge old.
 func (e *Engine) Load() tracker.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/faker/limit.go
+++ b/faker/limit.go
@@ -68,8 +68,8 @@
 	PerSecond         float64
 }
 
-// LimitViolations returns the windows, each ending with a request, in which hosts that were informed of
-// the limit sent more requests than it allows. Windows that end within limitGrace of the first
+// LimitViolations returns the windows, each ending with a request, in which hosts that were informed
+// of the limit sent more requests than it allows. Windows that end within limitGrace of the first
 // announcement are skipped. If the limit changed in a window, the highest applies. host returns
 // the name of the host that sent a request, or empty for requests that don't count.
 func (s *Stage) LimitViolations(host func(one *ReceivedRequest) string) []LimitViolation {
--- a/faker/network.go
+++ b/faker/network.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// dialTimeout is the time after which a dial over a cut link fails.
+// dialTimeout is the time after which a dial over an interrupted link fails.
 const dialTimeout = 2 * time.Second
 
 // Network connects listeners and dialers in memory, so that complete hosts can run in virtual time.
@@ -56,8 +56,8 @@
 	n.aliases[address] = place
 }
 
-// Partition interrupts the link between two locations until Mend. Open connections are closed, and dials
-// fail after dialTimeout or when their context ends.
+// Partition interrupts the link between two locations until Heal. Open connections are closed, and
+// dials fail after dialTimeout or when their context ends.
 func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	n.partitioned[[2]string{a, b}] = true
@@ -101,7 +101,7 @@
 	return false
 }
 
-// Heal restores the link between two locations after Cut.
+// Heal restores the link between two locations after Partition.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -36,7 +36,7 @@
 	// LoseResponse reports whether the response to a write that took effect is lost, so that Swap
 	// returns storer.ErrUncertain; nil means never.
 	LoseResponse func(w storer.Write) bool
-	// Stale makes reads return values from the copy that Remember made.
+	// Stale makes reads return values from the copy that TakeSnapshot made.
 	Stale bool
 }
 
--- a/faker/service.go
+++ b/faker/service.go
@@ -66,8 +66,8 @@
 	return n
 }
 
-// DropResponseWhen makes calls for which f returns true break the connection after they were executed; nil
-// means none.
+// DropResponseWhen makes calls for which f returns true break the connection after they were
+// executed; nil means none.
 func (s *Service) DropResponseWhen(f func(r *http.Request) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -43,7 +43,7 @@
 	ID string
 	// Headers holds the header names that it uses; nil means forwarder.DefaultHeaders.
 	Headers *forwarder.Headers
-	// Events is the number of events in a stream, Gap the time before each of them.
+	// Events is the number of events in a stream, EventInterval the time before each of them.
 	Events        int
 	EventInterval time.Duration
 	// ResponseDelay is the time before a response that is not a stream.
