--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -27,20 +27,20 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// bench is a set of entry hosts before a faker.World, all in memory.
-type bench struct {
+// cluster is a set of entry hosts and the faker.World behind them, all in memory.
+type cluster struct {
 	t     *testing.T
 	net   *faker.Network
 	world *faker.Environment
-	hosts []*entry
-	log   *lines
+	hosts []*testHost
+	log   *logBuffer
 	seed  uint64
-	// tls is given to every host; nil means plain connections.
+	// tls is set on every host; nil means plain connections.
 	tls *loader.TLS
 }
 
-// entry is one entry host of a bench.
-type entry struct {
+// testHost is one entry host of a cluster.
+type testHost struct {
 	*runner.Host
 	name, dataCentre string
 	checker          *checker.Checker
@@ -49,20 +49,20 @@
 	client           *http.Client
 }
 
-var centres = []string{"north", "port", "road"}
+var dataCentres = []string{"north", "port", "road"}
 
 const (
-	platformPlace = "platform"
-	key           = "key-a"
-	otherKey      = "key-b"
-	adminKey      = "admin"
-	// atFirst hosts know each other; one with a higher number has joined, and
-	// nobody has heard of it yet.
-	atFirst = 4
+	platformSite = "platform"
+	key          = "key-a"
+	otherKey     = "key-b"
+	adminKey     = "admin"
+	// The first initialHosts hosts know each other from their settings. A host with a higher
+	// number joins later and is unknown to them at first.
+	initialHosts = 4
 )
 
-// configuration is two rows of engines that overlap, over three data centres,
-// and a desk with an instance in each.
+// configuration returns engines that cover the model in several overlapping ways in each of three
+// data centres, and the service desk with one instance in each.
 func configuration() *builder.Configuration {
 	cfg := &builder.Configuration{
 		Models:       []builder.Model{{Name: "m", Version: "1", Layers: 12}},
@@ -70,7 +70,7 @@
 		Links:        []builder.Link{{From: "north", To: "port", LatencyMs: 0.8}, {From: "north", To: "road", LatencyMs: 0.7}, {From: "port", To: "road", LatencyMs: 0.4}},
 	}
 	var engines, desk []builder.Upstream
-	for i, dc := range centres {
+	for i, dc := range dataCentres {
 		next := 100 * i
 		address := func(int) string {
 			next++
@@ -100,15 +100,15 @@
 	return cfg
 }
 
-// run makes a bench of four hosts in three data centres, waits until they are
-// ready, and runs f in virtual time.
-func run(t *testing.T, seed uint64, f func(b *bench)) {
+// runCluster starts a cluster of four hosts in three data centres, waits until they are ready,
+// and runs f in virtual time.
+func runCluster(t *testing.T, seed uint64, f func(b *cluster)) {
 	t.Helper()
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, seed, configuration())
+		b := newCluster(t, seed, configuration())
 		defer b.close()
-		for i := range atFirst {
+		for i := range initialHosts {
 			b.start(i)
 		}
 		b.submit(0, configuration())
@@ -118,13 +118,13 @@
 	})
 }
 
-func newBench(t *testing.T, seed uint64, cfg *builder.Configuration) *bench {
-	b := &bench{t: t, net: faker.NewNetwork(), seed: seed, log: new(lines), hosts: make([]*entry, atFirst)}
+func newCluster(t *testing.T, seed uint64, cfg *builder.Configuration) *cluster {
+	b := &cluster{t: t, net: faker.NewNetwork(), seed: seed, log: new(logBuffer), hosts: make([]*testHost, initialHosts)}
 	for _, u := range cfg.Upstreams {
 		b.net.SetLocation(u.Address, u.DataCentre)
 	}
-	b.net.SetLocation("10.9.0.1:1", platformPlace)
-	b.net.SetLocation("10.9.0.1:2", platformPlace)
+	b.net.SetLocation("10.9.0.1:1", platformSite)
+	b.net.SetLocation("10.9.0.1:2", platformSite)
 	b.world = &faker.Environment{
 		Configuration: cfg, Listen: b.net.Listen,
 		PlatformAddress: "10.9.0.1:1", HostListAddress: "10.9.0.1:2",
@@ -133,30 +133,30 @@
 	return b
 }
 
-func (b *bench) settings(i int) *loader.Settings {
+func (b *cluster) settings(i int) *loader.Settings {
 	at := func(port int) string { return fmt.Sprintf("10.0.0.%d:%d", i+1, port) }
 	cfg := &loader.Settings{
-		Host: fmt.Sprintf("h%d", i), DataCentre: centres[i%len(centres)],
+		Host: fmt.Sprintf("h%d", i), DataCentre: dataCentres[i%len(dataCentres)],
 		Callers: loader.Endpoint{Listen: at(80)}, Peer: loader.Endpoint{Listen: at(81)}, Admin: loader.Endpoint{Listen: at(82)},
 		AdminKeyHash: builder.HashKey(adminKey),
 		Platform:     "10.9.0.1:1", HostList: "10.9.0.1:2",
 		TLS:   b.tls,
 		Peers: []string{"10.0.0.1:81", "10.0.0.2:81", "10.0.0.3:81", "10.0.0.4:81"},
 	}
-	if i >= atFirst {
+	if i >= initialHosts {
 		cfg.Peers = []string{cfg.Peer.Listen}
 	}
 	is.New(b.t).NoErr(cfg.Fill())
 	return cfg
 }
 
-// start runs a host; one that ran before must have ended.
-func (b *bench) start(i int) *entry {
+// start starts host i. A host that ran before under this number must have stopped.
+func (b *cluster) start(i int) *testHost {
 	if i == len(b.hosts) {
 		b.hosts = append(b.hosts, nil)
 	}
 	cfg := b.settings(i)
-	e := &entry{name: cfg.Host, dataCentre: cfg.DataCentre, done: make(chan error, 1)}
+	e := &testHost{name: cfg.Host, dataCentre: cfg.DataCentre, done: make(chan error, 1)}
 	log := zerolog.New(b.log).With().Str("at", cfg.Host).Timestamp().Logger()
 	e.checker = &checker.Checker{Log: log, Fail: func(v checker.Violation) { b.t.Errorf("violation on %s: %v", cfg.Host, v) }}
 	e.Host = &runner.Host{
@@ -179,10 +179,9 @@
 	return e
 }
 
-// kill ends a host as SIGKILL would: its connections break first. Under TLS the
-// server would else write its farewell to each while it holds its lock, and the
-// clock of the test stood still.
-func (b *bench) kill(i int) {
+// kill ends host i as SIGKILL would: its connections break first. Otherwise a TLS server writes
+// close_notify to each connection while it holds its lock, which stops the virtual clock.
+func (b *cluster) kill(i int) {
 	b.net.CloseConnections(fmt.Sprint("peer", i))
 	b.hosts[i].Kill()
 	<-b.hosts[i].done
@@ -190,21 +189,21 @@
 	b.hosts[i] = nil
 }
 
-func (b *bench) close() {
+func (b *cluster) close() {
 	for i, e := range b.hosts {
 		if e != nil {
 			b.kill(i)
 		}
 	}
 	b.world.Close()
-	// What the services still work on ends by itself.
+	// Requests that the services still process end within this time.
 	time.Sleep(10 * time.Second)
 	if b.t.Failed() && testing.Verbose() {
 		b.t.Log(b.log.String())
 	}
 }
 
-func (b *bench) allReady() bool {
+func (b *cluster) allReady() bool {
 	for _, e := range b.hosts {
 		if e != nil && !e.Ready() {
 			return false
@@ -213,18 +212,18 @@
 	return true
 }
 
-// await checks a condition ten times a second for at most d of virtual time.
-func (b *bench) await(d time.Duration, ok func() bool) {
+// await polls ok ten times a second of virtual time, and fails the test after d.
+func (b *cluster) await(d time.Duration, ok func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	b.t.Fatalf("condition not reached in %v", d)
+	b.t.Fatalf("condition not met within %v", d)
 }
 
-func (b *bench) submit(base int64, cfg *builder.Configuration) int64 {
+func (b *cluster) submit(base int64, cfg *builder.Configuration) int64 {
 	b.t.Helper()
 	src, err := builder.Canonical(cfg)
 	is.New(b.t).NoErr(err)
@@ -233,37 +232,37 @@
 	return rev
 }
 
-// reply is a whole answer, or how far it came.
+// reply is an answer as the caller received it, complete or in part.
 type reply struct {
-	status int
-	text   string
-	whole  bool
-	refuse *server.ErrorDetail
-	body   string
-	took   time.Duration
-	err    error
+	status   int
+	text     string
+	complete bool
+	refusal  *server.ErrorDetail
+	body     string
+	elapsed  time.Duration
+	err      error
 }
 
-// generate asks host i for a stream of tokens.
-func (b *bench) generate(ctx context.Context, i int, prompt string, tokens int) reply {
+// generate requests a token stream from host i.
+func (b *cluster) generate(ctx context.Context, i int, prompt string, tokens int) reply {
 	body, _ := json.Marshal(server.Completion{Model: "draft", Prompt: prompt, MaxTokens: tokens, Stream: true})
 	return b.send(ctx, i, http.MethodPost, "/v1/completions", string(body), nil)
 }
 
-func (b *bench) post(i int, path, body string, header map[string]string) reply {
+func (b *cluster) post(i int, path, body string, header map[string]string) reply {
 	return b.send(context.Background(), i, http.MethodPost, path, body, header)
 }
 
-// admin asks the administration address of host i for a change.
-func (b *bench) admin(i int, path, body string) reply {
+// admin posts a change to the administration address of host i.
+func (b *cluster) admin(i int, path, body string) reply {
 	return b.sendTo(context.Background(), fmt.Sprintf("10.0.0.%d:82", i+1), http.MethodPost, path, body, map[string]string{"Authorization": "Bearer " + adminKey})
 }
 
-func (b *bench) send(ctx context.Context, i int, method, path, body string, header map[string]string) reply {
+func (b *cluster) send(ctx context.Context, i int, method, path, body string, header map[string]string) reply {
 	return b.sendTo(ctx, fmt.Sprintf("10.0.0.%d:80", i+1), method, path, body, header)
 }
 
-func (b *bench) sendTo(ctx context.Context, address, method, path, body string, header map[string]string) reply {
+func (b *cluster) sendTo(ctx context.Context, address, method, path, body string, header map[string]string) reply {
 	start := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -276,11 +275,11 @@
 	client := &http.Client{Transport: &http.Transport{DialContext: b.net.Dialer("caller"), DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return reply{err: err, took: time.Since(start)}
+		return reply{err: err, elapsed: time.Since(start)}
 	}
 	defer resp.Body.Close()
 	out := readReply(resp)
-	out.took = time.Since(start)
+	out.elapsed = time.Since(start)
 	return out
 }
 
@@ -294,9 +293,9 @@
 	out.body, out.err = string(src), err
 	var fail server.ErrorBody
 	if json.Unmarshal(src, &fail) == nil && fail.Error.Reason != "" {
-		out.refuse = &fail.Error
+		out.refusal = &fail.Error
 	}
-	out.whole = err == nil && out.refuse == nil
+	out.complete = err == nil && out.refusal == nil
 	return out
 }
 
@@ -313,9 +312,9 @@
 		case failed:
 			var fail server.ErrorBody
 			_ = json.Unmarshal([]byte(data), &fail)
-			out.refuse = &fail.Error
+			out.refusal = &fail.Error
 		case data == "[DONE]":
-			out.whole = true
+			out.complete = true
 		default:
 			var chunk struct {
 				Choices []struct {
@@ -329,38 +328,38 @@
 	out.err = scan.Err()
 }
 
-// assertWhole checks that a reply is the whole answer to its own request.
-func (b *bench) assertWhole(r reply, prompt string, tokens int) {
+// assertComplete checks that r is the complete answer to its own request.
+func (b *cluster) assertComplete(r reply, prompt string, tokens int) {
 	b.t.Helper()
-	if r.err != nil || r.refuse != nil || !r.whole {
-		b.t.Errorf("answer to %q not whole: status %d, %+v, %v", prompt, r.status, r.refuse, r.err)
+	if r.err != nil || r.refusal != nil || !r.complete {
+		b.t.Errorf("answer to %q is incomplete: status %d, refusal %+v, error %v", prompt, r.status, r.refusal, r.err)
 		return
 	}
 	if want := faker.Answer(prompt, tokens); r.text != want {
-		b.t.Errorf("answer to %q is another: %q", prompt, r.text)
+		b.t.Errorf("wrong answer to %q: %q", prompt, r.text)
 	}
 }
 
-// assertRefused checks a refusal's reason, that "not run" is as told, and that
-// no engine started what was not run.
-func (b *bench) assertRefused(r reply, reason string, notRun bool) {
+// assertRefused checks the reason and the notRun flag of a refusal, and that no upstream started
+// a request that was refused as not run.
+func (b *cluster) assertRefused(r reply, reason string, notRun bool) {
 	b.t.Helper()
-	if r.refuse == nil {
-		b.t.Errorf("want refusal %s, have status %d, body %q, text %q, %v", reason, r.status, r.body, r.text, r.err)
+	if r.refusal == nil {
+		b.t.Errorf("want refusal %q, have status %d, body %q, text %q, error %v", reason, r.status, r.body, r.text, r.err)
 		return
 	}
 	is := is.New(b.t)
-	is.Equal(r.refuse.Reason, reason)
-	is.Equal(r.refuse.NotRun, notRun)
+	is.Equal(r.refusal.Reason, reason)
+	is.Equal(r.refusal.NotRun, notRun)
 	if notRun {
-		is.Equal(b.world.Fleet.Attempts(r.refuse.RequestID), 0)
-		is.Equal(b.world.Services["desk"].Requests(r.refuse.RequestID), 0)
+		is.Equal(b.world.Fleet.Attempts(r.refusal.RequestID), 0)
+		is.Equal(b.world.Services["desk"].Requests(r.refusal.RequestID), 0)
 	}
 }
 
-// load sends generations to all hosts, n at a time each, until stop is called.
-// Every answer is checked.
-func (b *bench) load(n, tokens int, each func(reply)) (stop func()) {
+// generateLoad keeps n generations running on each host until stop is called, and checks every
+// answer.
+func (b *cluster) generateLoad(n, tokens int, each func(reply)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range b.hosts {
@@ -369,11 +368,11 @@
 				for k := 0; ctx.Err() == nil; k++ {
 					prompt := fmt.Sprintf("load %d %d %d", i, j, k)
 					r := b.generate(context.Background(), i, prompt, tokens)
-					if r.whole && r.text != faker.Answer(prompt, tokens) {
-						b.t.Errorf("answer to %q is another: %q", prompt, r.text)
+					if r.complete && r.text != faker.Answer(prompt, tokens) {
+						b.t.Errorf("wrong answer to %q: %q", prompt, r.text)
 					}
 					each(r)
-					if !r.whole {
+					if !r.complete {
 						time.Sleep(100 * time.Millisecond)
 					}
 				}
@@ -386,19 +385,19 @@
 	}
 }
 
-// lines keeps the log of a bench.
-type lines struct {
+// logBuffer collects the log of a cluster.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
--- a/runner/build.go
+++ b/runner/build.go
@@ -26,18 +26,19 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// DefaultPolicy is the one that docs/MEASUREMENTS.md shows to be best.
+// DefaultPolicy is the route policy with the best results in docs/MEASUREMENTS.md.
 var DefaultPolicy = picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredFactor: 0.7}
 
 const (
 	dialTimeout = 2 * time.Second
-	// patience is how long a call that may not be repeated waits for the
-	// platform to take its record.
-	patience = 5 * time.Second
+	// commitTimeout is how long a call that may not be repeated waits for the platform to store
+	// its record.
+	commitTimeout = 5 * time.Second
 )
 
-// Build makes all parts and joins them. Nothing runs yet, but every other
-// method may be called. Run does it where it wasn't done.
+// Build creates and connects all parts of the host without starting them. Afterwards every other
+// method may be called. Run calls Build when it hasn't been called; later calls return the result
+// of the first.
 func (h *Host) Build() error {
 	h.buildOnce.Do(func() { h.buildErr = h.build() })
 	return h.buildErr
@@ -49,16 +50,16 @@
 	if err := h.loadPeerTLS(); err != nil {
 		return err
 	}
-	h.conns = h.transport()
+	h.sharedTransport = h.newTransport()
 	h.meter = meter.New(meter.LabelValues(admitter.ReasonValues()), meter.LabelValues(streamer.CauseValues()))
 	cfg := h.Settings
-	h.store = &storer.Client{Address: cfg.Platform, HTTP: &http.Client{Transport: h.conns}, Timeout: ms(cfg.Timing.PlatformMs)}
-	h.buildGossip()
-	h.buildDecisions()
-	h.buildWatch()
-	h.buildProbe()
-	h.buildPlan()
-	h.buildServe()
+	h.store = &storer.Client{Address: cfg.Platform, HTTP: &http.Client{Transport: h.sharedTransport}, Timeout: ms(cfg.Timing.PlatformMs)}
+	h.buildGossiper()
+	h.buildRequestPath()
+	h.buildWatcher()
+	h.buildProber()
+	h.buildPlanner()
+	h.buildServer()
 	h.exportMetrics()
 	h.gossip.Start()
 	return nil
@@ -82,25 +83,25 @@
 	h.clients = make(map[string]peer.Peer)
 }
 
-func (h *Host) transport() *http.Transport {
-	const idle = 256
+func (h *Host) newTransport() *http.Transport {
+	const maxIdlePerHost = 256
 	return &http.Transport{
 		DialContext:         h.Dial,
-		MaxIdleConnsPerHost: idle,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
 }
 
-func (h *Host) buildGossip() {
+func (h *Host) buildGossiper() {
 	cfg := h.Settings
-	t := h.transport()
-	t.DialContext = countedDial(h.Dial, &h.control)
+	t := h.newTransport()
+	t.DialContext = countingDial(h.Dial, &h.controlBytes)
 	t.TLSClientConfig = h.peerTLS
-	// Gossip goes round all hosts, so a kept connection would hardly be used
-	// again before it is closed.
+	// Gossip rotates over all hosts, so a kept connection would rarely be used again before it is
+	// closed.
 	t.MaxIdleConnsPerHost, t.IdleConnTimeout = 1, 5*time.Second
-	h.peerConns = t
+	h.peerTransport = t
 	client := &http.Client{Transport: t}
 	scheme := "http://"
 	if h.peerTLS != nil {
@@ -111,42 +112,42 @@
 		Host:   &peer.Host{Address: cfg.Peer.Advertise, DataCentre: cfg.DataCentre, Region: cfg.Region},
 		Peers:  cfg.Peers,
 		Period: ms(cfg.Timing.GossipMs),
-		Rand:   seeded(h.Seed, 1),
+		Rand:   newRand(h.Seed, 1),
 		Log:    h.Log,
 		Dial: func(address string) peer.Peer {
 			return peer.NewPeerProtobufClient(scheme+address, client)
 		},
-		OnChange: h.heard,
-		Revision: func() int64 { return h.watch.Revision() },
+		OnChange: h.applyItems,
+		Revision: func() int64 { return h.configWatcher.Revision() },
 	}
 }
 
-func (h *Host) buildDecisions() {
-	h.track = &tracker.Tracker{
+func (h *Host) buildRequestPath() {
+	h.upstreamTracker = &tracker.Tracker{
 		Policy:    h.Policy,
-		Rand:      seeded(h.Seed, 2),
+		Rand:      newRand(h.Seed, 2),
 		Host:      h.Settings.Host,
 		HostCount: func() int { return len(h.gossip.Live()) },
 		Checker:   h.Checker,
 	}
-	h.track.Configure(&builder.Configuration{})
-	h.susp = &tracker.Suspects{WentDown: h.track.WentDown}
-	h.admit = &admitter.Admitter[picker.Route]{MaxQueued: h.Settings.Limits.Queued}
+	h.upstreamTracker.Configure(&builder.Configuration{})
+	h.suspects = &tracker.Suspects{WentDown: h.upstreamTracker.WentDown}
+	h.admission = &admitter.Admitter[picker.Route]{MaxQueued: h.Settings.Limits.Queued}
 	h.limits = new(admitter.RateLimiter)
-	h.route = &router.Router{
+	h.requestRouter = &router.Router{
 		DataCentre: h.Settings.DataCentre,
-		Tracker:    h.track,
-		Suspects:   h.susp,
-		Admitter:   h.admit,
+		Tracker:    h.upstreamTracker,
+		Suspects:   h.suspects,
+		Admitter:   h.admission,
 		Limits:     h.limits,
 		Budget:     &admitter.RetryBudget{Ratio: retryRatio, Burst: retryBurst},
-		Announcer:  news{h},
+		Announcer:  announcer{h},
 		Meter:      h.meter,
 		Checker:    h.Checker,
 	}
-	h.stream = &streamer.Streamer{
-		Engine:          &streamer.Client{HTTP: &http.Client{Transport: h.conns}},
-		Router:          h.route,
+	h.tokenStreamer = &streamer.Streamer{
+		Engine:          &streamer.Client{HTTP: &http.Client{Transport: h.sharedTransport}},
+		Router:          h.requestRouter,
 		Checker:         h.Checker,
 		Log:             h.Log,
 		MinStallTimeout: ms(h.Settings.Timing.StallFloorMs),
@@ -156,76 +157,76 @@
 		Host:          h.Settings.Host,
 		Incarnation:   time.Now().UnixMilli(),
 		Address:       h.gossip.Host.GetAddress(),
-		ClaimQuerier:  asker{h},
+		ClaimQuerier:  claimQuerier{h},
 		Checker:       h.Checker,
 		Log:           h.Log,
-		Buckets:       buckets,
-		Retention:     retention,
-		CommitTimeout: patience,
+		Buckets:       idempotencyBuckets,
+		Retention:     idempotencyRetention,
+		CommitTimeout: commitTimeout,
 	}
 	h.dedup.Start()
 }
 
-func (h *Host) buildWatch() {
-	h.watch = &watcher.Watcher{
+func (h *Host) buildWatcher() {
+	h.configWatcher = &watcher.Watcher{
 		Store:   h.store,
-		Peers:   fetcher{h},
-		Reads:   func() bool { return h.gossip.Owns("configuration", h.Settings.DataCentre, readers) },
-		Apply:   h.apply,
+		Peers:   configurationFetcher{h},
+		Reads:   func() bool { return h.gossip.Owns("configuration", h.Settings.DataCentre, ownersPerDataCentre) },
+		Apply:   h.applyConfiguration,
 		Period:  ms(h.Settings.Timing.ConfigurationMs),
 		Checker: h.Checker,
 		Log:     h.Log,
 	}
-	h.watch.Start()
+	h.configWatcher.Start()
 }
 
-func (h *Host) buildProbe() {
+func (h *Host) buildProber() {
 	cfg := h.Settings
-	n := news{h}
-	h.probe = &prober.Prober{
-		Upstreams:  &prober.Client{HTTP: &http.Client{Transport: h.conns}, HostList: cfg.HostList, Refused: isRefused},
-		Tracker:    h.track,
+	n := announcer{h}
+	h.upstreamProber = &prober.Prober{
+		Upstreams:  &prober.Client{HTTP: &http.Client{Transport: h.sharedTransport}, HostList: cfg.HostList, Refused: isConnectionRefused},
+		Tracker:    h.upstreamTracker,
 		Owns:       func(key string, n int) bool { return h.gossip.Owns(key, cfg.DataCentre, n) },
 		DataCentre: cfg.DataCentre,
 		OnLeaving:  n.AnnounceLeaving,
 		OnDown:     n.AnnounceDown,
-		Wake:       func() { h.admit.WakeAll(time.Now()) },
+		Wake:       func() { h.admission.WakeAll(time.Now()) },
 		Period:     ms(cfg.Timing.ProbeMs),
 		Log:        h.Log,
 	}
 	if cfg.HostList != "" {
-		h.probe.ListPeriod = ms(cfg.Timing.HostListMs)
+		h.upstreamProber.ListPeriod = ms(cfg.Timing.HostListMs)
 	}
 }
 
-func (h *Host) buildPlan() {
+func (h *Host) buildPlanner() {
 	cfg := h.Settings
-	h.plan = &planner.Planner{
+	h.orderPlanner = &planner.Planner{
 		Store:       h.store,
-		Engines:     &planner.Client{HTTP: &http.Client{Transport: h.conns}},
+		Engines:     &planner.Client{HTTP: &http.Client{Transport: h.sharedTransport}},
 		Host:        cfg.Host,
 		DataCentre:  cfg.DataCentre,
 		LeaseTTL:    ms(cfg.Timing.LeaseMs),
 		MaxPause:    ms(cfg.Timing.PauseMs),
-		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, readers) },
-		Assignments: h.wanted,
+		Candidate:   func() bool { return h.gossip.Owns("orders", cfg.DataCentre, ownersPerDataCentre) },
+		Assignments: h.assignments,
 		MayLoad:     func(string) bool { return true },
-		LoadSpacing: h.spacing,
+		LoadSpacing: h.loadSpacing,
 		Checker:     h.Checker,
 		Log:         h.Log,
 	}
 }
 
-func (h *Host) buildServe() {
-	once := h.transport()
-	once.DisableKeepAlives = true
-	h.serve = &server.Server{
+func (h *Host) buildServer() {
+	unsharedTransport := h.newTransport()
+	unsharedTransport.DisableKeepAlives = true
+	h.apiServer = &server.Server{
 		Host:         h.Settings.Host,
 		Limits:       h.Settings.Limits,
-		Router:       h.route,
-		Streamer:     h.stream,
+		Router:       h.requestRouter,
+		Streamer:     h.tokenStreamer,
 		Deduplicator: h.dedup,
-		Services:     &server.HTTPCaller{Shared: &http.Client{Transport: h.conns}, Once: &http.Client{Transport: once}},
+		Services:     &server.HTTPCaller{Shared: &http.Client{Transport: h.sharedTransport}, Once: &http.Client{Transport: unsharedTransport}},
 		Meter:        h.meter,
 		Checker:      h.Checker,
 		Log:          h.Log,
@@ -233,27 +234,27 @@
 }
 
 func (h *Host) exportMetrics() {
-	h.meter.GaugeFunc("revision", "Configuration revision in force.", func() float64 { return float64(h.watch.Revision()) })
+	h.meter.GaugeFunc("revision", "Configuration revision in force.", func() float64 { return float64(h.configWatcher.Revision()) })
 	h.meter.GaugeFunc("live_hosts", "Entry hosts that answer callers, as known here.", func() float64 { return float64(len(h.gossip.Live())) })
-	h.meter.GaugeFunc("in_flight", "Requests being answered.", func() float64 { return float64(h.serve.InFlight()) })
+	h.meter.GaugeFunc("in_flight", "Requests being answered.", func() float64 { return float64(h.apiServer.InFlight()) })
 	h.meter.GaugeFunc("holds_orders", "Whether this host gives orders to engines.", func() float64 {
-		if h.plan.Holding() {
+		if h.orderPlanner.Holding() {
 			return 1
 		}
 		return 0
 	})
 	h.meter.CounterFunc("platform_calls_total", "Calls on the platform.", func() float64 { return float64(h.store.Calls()) })
-	h.meter.CounterFunc("control_bytes_total", "Bytes to and from other hosts.", func() float64 { return float64(h.control.Load()) })
-	h.meter.CounterFunc("tokens_total", "Tokens relayed to callers.", func() float64 { return float64(h.stream.RelayedTokens.Load()) })
-	h.meter.CounterFunc("frames_dropped_total", "Frames of another attempt or index.", func() float64 { return float64(h.stream.DroppedFrames.Load()) })
-	h.meter.CounterFunc("orders_total", "Orders given to engines.", func() float64 { return float64(h.plan.Orders.Load()) })
-	h.meter.CounterFunc("orders_fenced_total", "Orders refused for an old fencing number.", func() float64 { return float64(h.plan.FencedOrders.Load()) })
+	h.meter.CounterFunc("control_bytes_total", "Bytes to and from other hosts.", func() float64 { return float64(h.controlBytes.Load()) })
+	h.meter.CounterFunc("tokens_total", "Tokens relayed to callers.", func() float64 { return float64(h.tokenStreamer.RelayedTokens.Load()) })
+	h.meter.CounterFunc("frames_dropped_total", "Frames of another attempt or index.", func() float64 { return float64(h.tokenStreamer.DroppedFrames.Load()) })
+	h.meter.CounterFunc("orders_total", "Orders given to engines.", func() float64 { return float64(h.orderPlanner.Orders.Load()) })
+	h.meter.CounterFunc("orders_fenced_total", "Orders refused for an old fencing number.", func() float64 { return float64(h.orderPlanner.FencedOrders.Load()) })
 	h.meter.CounterFunc("violations_total", "Invariants found violated; any is a defect.", func() float64 { return float64(h.Checker.Total()) })
 }
 
-// wanted is the engines of this data centre and what each is to hold.
-func (h *Host) wanted() []planner.Assignment {
-	cfg := h.watch.Current()
+// assignments returns the engines of this data centre and the layers that each is to hold.
+func (h *Host) assignments() []planner.Assignment {
+	cfg := h.configWatcher.Current()
 	if cfg == nil {
 		return nil
 	}
@@ -275,9 +276,10 @@
 	return out
 }
 
-// spacing is how long the weight store takes to hand out a target's layers.
-func (h *Host) spacing(t planner.Target) time.Duration {
-	cfg := h.watch.Current()
+// loadSpacing returns how long the weight store takes to serve the layers of a target; 0 means
+// that the rate of the weight store or the model isn't configured.
+func (h *Host) loadSpacing(t planner.Target) time.Duration {
+	cfg := h.configWatcher.Current()
 	if cfg == nil || cfg.WeightStoreBytesPerSecond == 0 {
 		return 0
 	}
@@ -290,7 +292,7 @@
 	return 0
 }
 
-var errNoPeer = errors.New("runner: no peer could be asked")
+var errNoPeer = errors.New("runner: no peer returned the configuration")
 
 func (h *Host) callerTLS() (*tls.Config, error) {
 	return serverTLS(h.Settings.TLS.CallerCertificate, h.Settings.TLS.CallerKey)
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -22,7 +22,7 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// peerService answers other hosts: gossip by the gossiper, the rest here.
+// peerService implements peer.Peer. The embedded Gossiper answers the gossip calls.
 type peerService struct {
 	*gossiper.Gossiper
 	h *Host
@@ -30,7 +30,7 @@
 
 // Configuration implements peer.Peer.
 func (p peerService) Configuration(_ context.Context, req *peer.ConfigurationRequest) (*peer.ConfigurationResponse, error) {
-	body, rev := p.h.watch.Serve(req.Part)
+	body, rev := p.h.configWatcher.Serve(req.Part)
 	return &peer.ConfigurationResponse{Body: body, Revision: rev}, nil
 }
 
@@ -44,7 +44,7 @@
 func (p peerService) Status(context.Context, *peer.StatusRequest) (*peer.StatusResponse, error) {
 	return &peer.StatusResponse{
 		Host:       p.h.Settings.Host,
-		Revision:   p.h.watch.Revision(),
+		Revision:   p.h.configWatcher.Revision(),
 		Ready:      p.h.Ready(),
 		Leaving:    p.h.leaving(),
 		Violations: p.h.Checker.Total(),
@@ -55,49 +55,50 @@
 	return peer.NewPeerServer(peerService{h.gossip, h})
 }
 
-// HostStatus is one entry host as operators see it.
+// HostStatus is the state of one entry host as shown to operators.
 type HostStatus struct {
 	Host       string `json:"host"`
 	DataCentre string `json:"dataCentre"`
 	// State is alive, leaving, suspect or dead.
 	State string `json:"state"`
-	// Revision is the one in force there; -1 when it did not answer.
+	// Revision is the configuration revision in force on that host; -1 means that it didn't
+	// answer.
 	Revision   int64 `json:"revision"`
 	Violations int64 `json:"violations"`
 }
 
-// Status is what an operator asks for.
+// Status is the answer to an operator's status request.
 type Status struct {
 	Host     string `json:"host"`
 	Revision int64  `json:"revision"`
-	// LowestRevision is the lowest in force on any host that answered, and
-	// LowestHost where.
+	// LowestRevision is the lowest revision in force on any host that answered, and LowestHost
+	// the first host that has it.
 	LowestRevision int64            `json:"lowestRevision"`
 	LowestHost     string           `json:"lowestHost"`
 	Hosts          []HostStatus     `json:"hosts"`
 	Upstreams      []tracker.Status `json:"upstreams"`
-	// Waiting is how many requests wait on this host, by pipeline or service.
+	// Waiting is the number of requests queued on this host, by pipeline or service.
 	Waiting map[string]int `json:"waiting"`
-	// Bounds are in tokens a second, by pipeline: what is declared, and what
-	// of it is up.
+	// Bounds are the throughput bounds by pipeline, in tokens per second.
 	Bounds map[string]BoundStatus `json:"bounds"`
 }
 
-// BoundStatus is a pipeline's throughput bound, in tokens a second.
+// BoundStatus is a pipeline's throughput bound in tokens per second: Declared counts all declared
+// upstreams, Up only those that are up.
 type BoundStatus struct {
 	Declared float64 `json:"declared"`
 	Up       float64 `json:"up"`
 }
 
-// SubmitBody is the body of a submission.
+// SubmitBody is the body of a request to submit a configuration.
 type SubmitBody struct {
-	// Base is the revision that the operator reviewed.
+	// Base is the revision that the operator reviewed; 0 means that there is none yet.
 	Base int64 `json:"base"`
-	// ID is the same for every try of one submission.
+	// ID identifies the submission; every retry of one submission has the same ID.
 	ID string `json:"id"`
-	// By says who submits.
+	// By names the operator.
 	By string `json:"by"`
-	// Configuration is the text, JSON with comments.
+	// Configuration is the source text, JSON with comments.
 	Configuration string `json:"configuration"`
 }
 
@@ -105,7 +106,7 @@
 type SubmitAnswer struct {
 	Revision int64  `json:"revision,omitempty"`
 	Error    string `json:"error,omitempty"`
-	// Have and By tell who won a race.
+	// Have is the revision in force and By its submitter, when another submission came first.
 	Have int64  `json:"have,omitempty"`
 	By   string `json:"by,omitempty"`
 }
@@ -118,8 +119,8 @@
 	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(h.meter.Registry, promhttp.HandlerOpts{})))
 	e.GET("/admin/v1/status", func(c echo.Context) error { return c.JSONPretty(http.StatusOK, h.Status(c.Request().Context()), "  ") })
 	e.GET("/admin/v1/configuration", h.configuration)
-	e.POST("/admin/v1/submit", h.submit, h.authorised)
-	e.POST("/admin/v1/drain/:upstream", h.drain, h.authorised)
+	e.POST("/admin/v1/submit", h.submit, h.requireAdminKey)
+	e.POST("/admin/v1/drain/:upstream", h.drain, h.requireAdminKey)
 	e.GET("/debug/pprof/", echo.WrapHandler(http.HandlerFunc(pprof.Index)))
 	e.GET("/debug/pprof/profile", echo.WrapHandler(http.HandlerFunc(pprof.Profile)))
 	e.GET("/debug/pprof/:name", func(c echo.Context) error {
@@ -129,13 +130,14 @@
 	return e
 }
 
-// authorised lets a change pass only with the administration key.
-func (h *Host) authorised(next echo.HandlerFunc) echo.HandlerFunc {
+// requireAdminKey passes a request on only when it carries the administration key. Without a
+// configured key hash every request is refused.
+func (h *Host) requireAdminKey(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key, _ := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		want := h.Settings.AdminKeyHash
 		if want == "" || subtle.ConstantTimeCompare([]byte(builder.HashKey(key)), []byte(want)) != 1 {
-			return c.JSON(http.StatusUnauthorized, SubmitAnswer{Error: "want Authorization: Bearer with the administration key"})
+			return c.JSON(http.StatusUnauthorized, SubmitAnswer{Error: "administration key is missing or wrong; want header Authorization: Bearer KEY"})
 		}
 		return next(c)
 	}
@@ -149,7 +151,7 @@
 }
 
 func (h *Host) configuration(c echo.Context) error {
-	cfg := h.watch.Current()
+	cfg := h.configWatcher.Current()
 	if cfg == nil {
 		return c.JSON(http.StatusNotFound, SubmitAnswer{Error: "no configuration in force"})
 	}
@@ -161,12 +163,12 @@
 }
 
 func (h *Host) submit(c echo.Context) error {
-	const most = 64 << 20
+	const maxBodyBytes = 64 << 20
 	var in SubmitBody
-	dec := json.NewDecoder(io.LimitReader(c.Request().Body, most))
+	dec := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&in); err != nil || in.ID == "" {
-		return c.JSON(http.StatusBadRequest, SubmitAnswer{Error: "want base, id, by and configuration"})
+		return c.JSON(http.StatusBadRequest, SubmitAnswer{Error: "body is not a valid submission; want JSON with base, id, by and configuration"})
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), 30*time.Second)
 	defer cancel()
@@ -176,7 +178,7 @@
 	case errors.As(err, &conflict):
 		return c.JSON(http.StatusConflict, SubmitAnswer{Error: err.Error(), Have: conflict.Have, By: conflict.By})
 	case ctx.Err() != nil:
-		return c.JSON(http.StatusServiceUnavailable, SubmitAnswer{Error: "the platform did not settle the submission in time; submit again with the same id"})
+		return c.JSON(http.StatusServiceUnavailable, SubmitAnswer{Error: "the platform did not confirm the submission in time; submit again with the same id"})
 	case err != nil:
 		return c.JSON(http.StatusUnprocessableEntity, SubmitAnswer{Error: err.Error()})
 	}
@@ -184,42 +186,42 @@
 	return c.JSON(http.StatusOK, SubmitAnswer{Revision: rev})
 }
 
-// drain marks an upstream as leaving on all hosts, until it has a newer
+// drain marks an upstream as leaving on all hosts, until it is restarted with a newer
 // incarnation.
 func (h *Host) drain(c echo.Context) error {
 	name := c.Param("upstream")
-	if _, ok := h.track.Upstream(name); !ok {
-		return c.JSON(http.StatusNotFound, SubmitAnswer{Error: "no upstream " + name})
+	if _, ok := h.upstreamTracker.Upstream(name); !ok {
+		return c.JSON(http.StatusNotFound, SubmitAnswer{Error: "unknown upstream " + name})
 	}
-	inc := h.track.Incarnation(name)
-	h.track.MarkLeaving(name, inc)
-	news{h}.AnnounceLeaving(name, inc)
+	inc := h.upstreamTracker.Incarnation(name)
+	h.upstreamTracker.MarkLeaving(name, inc)
+	announcer{h}.AnnounceLeaving(name, inc)
 	h.Log.Info().Str("upstream", name).Int64("incarnation", inc).Msg("runner: upstream drained by an operator")
 	return c.JSON(http.StatusOK, struct{}{})
 }
 
-// Status asks every host for its revision; it is for operators, and its cost
-// grows with the fleet only when one asks.
+// Status asks every host for its revision. The cost grows with the number of hosts, but arises
+// only when an operator asks.
 func (h *Host) Status(ctx context.Context) Status {
 	now := time.Now()
 	st := Status{
 		Host:      h.Settings.Host,
-		Revision:  h.watch.Revision(),
+		Revision:  h.configWatcher.Revision(),
 		Hosts:     h.hostStatuses(ctx),
-		Upstreams: h.track.Statuses(now),
-		Waiting:   h.admit.Waiting(),
+		Upstreams: h.upstreamTracker.Statuses(now),
+		Waiting:   h.admission.Waiting(),
 		Bounds:    make(map[string]BoundStatus),
 	}
 	st.LowestRevision = -1
-	for _, one := range st.Hosts {
-		if one.Revision >= 0 && (st.LowestRevision < 0 || one.Revision < st.LowestRevision) {
-			st.LowestRevision, st.LowestHost = one.Revision, one.Host
+	for _, host := range st.Hosts {
+		if host.Revision >= 0 && (st.LowestRevision < 0 || host.Revision < st.LowestRevision) {
+			st.LowestRevision, st.LowestHost = host.Revision, host.Host
 		}
 	}
-	if cfg := h.watch.Current(); cfg != nil {
+	if cfg := h.configWatcher.Current(); cfg != nil {
 		for _, p := range cfg.Pipelines {
-			declared, _ := h.track.ThroughputBound(now, p.Name, true)
-			up, _ := h.track.ThroughputBound(now, p.Name, false)
+			declared, _ := h.upstreamTracker.ThroughputBound(now, p.Name, true)
+			up, _ := h.upstreamTracker.ThroughputBound(now, p.Name, false)
 			st.Bounds[p.Name] = BoundStatus{Declared: declared, Up: up}
 		}
 	}
@@ -227,22 +229,22 @@
 }
 
 func (h *Host) hostStatuses(ctx context.Context) []HostStatus {
-	const atOnce = 64
+	const maxConcurrent = 64
 	items := h.gossip.All(peer.ItemKind_ITEM_KIND_HOST)
 	out := make([]HostStatus, len(items))
-	gate := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
 	for i, it := range items {
 		out[i] = HostStatus{Host: it.Key, DataCentre: it.Host.GetDataCentre(), State: gossiper.StateOf(it).String(), Revision: -1}
 		if gossiper.StateOf(it) == gossiper.HostDead {
 			continue
 		}
-		gate <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-gate }()
-			one, cancel := context.WithTimeout(ctx, time.Second)
+			defer func() { <-slots }()
+			callCtx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			if resp, err := h.gossip.Dial(it.Host.GetAddress()).Status(one, &peer.StatusRequest{}); err == nil {
+			if resp, err := h.gossip.Dial(it.Host.GetAddress()).Status(callCtx, &peer.StatusRequest{}); err == nil {
 				out[i].Revision, out[i].Violations = resp.Revision, resp.Violations
 			}
 		})
--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -13,8 +13,8 @@
 	"github.com/sardineward/sardineward/planner"
 )
 
-// busiest returns an engine that has sequences now.
-func (b *bench) busiest() *faker.Engine {
+// busiest returns the engine that runs the most sequences.
+func (b *cluster) busiest() *faker.Engine {
 	var best *faker.Engine
 	for _, e := range b.world.Fleet.Engines() {
 		if best == nil || e.Running() > best.Running() {
@@ -24,41 +24,40 @@
 	return best
 }
 
-// disturb sends long generations through every host, does harm to the engine
-// that has most of them, and checks that every answer is whole all the same.
-func (b *bench) disturb(harm func(e *faker.Engine)) {
+// assertFaultTolerated sends long generations through every host, injects a fault into the engine
+// that runs the most of them, and checks that every answer is complete all the same.
+func (b *cluster) assertFaultTolerated(inject func(e *faker.Engine)) {
 	b.t.Helper()
-	const each, tokens = 3, 60
+	const perHost, tokens = 3, 60
 	var wg sync.WaitGroup
 	for i := range b.hosts {
-		for k := range each {
+		for k := range perHost {
 			prompt := fmt.Sprintf("long %d %d", i, k)
-			wg.Go(func() { b.assertWhole(b.generate(context.Background(), i, prompt, tokens), prompt, tokens) })
+			wg.Go(func() { b.assertComplete(b.generate(context.Background(), i, prompt, tokens), prompt, tokens) })
 		}
 	}
 	time.Sleep(200 * time.Millisecond)
 	e := b.busiest()
 	is.New(b.t).True(e.Running() > 0)
-	harm(e)
+	inject(e)
 	wg.Wait()
 }
 
-// TestStageKilled. A stage dies while it works on many answers. Callers used to
-// see their streams break; now each goes on with the next token on another
-// route.
+// TestStageKilled guards against streams that break when a stage dies: each must go on with the
+// next token on another route.
 func TestStageKilled(t *testing.T) {
-	run(t, 10, func(b *bench) {
-		b.disturb(func(e *faker.Engine) { b.world.Kill(e.Upstream.Name) })
+	runCluster(t, 10, func(b *cluster) {
+		b.assertFaultTolerated(func(e *faker.Engine) { b.world.Kill(e.Upstream.Name) })
 	})
 }
 
-// TestStagePaused. A stage is frozen: its connections stay open and nothing
-// comes. Streams stood still until their deadline. Each is moved after a silence
-// of two expected gaps, and what the stage sends after waking is dropped.
+// TestStagePaused guards against streams that wait on a frozen stage until their deadline. They
+// move after a silence of two expected gaps, and frames that the stage sends after it resumes are
+// dropped.
 func TestStagePaused(t *testing.T) {
-	run(t, 11, func(b *bench) {
+	runCluster(t, 11, func(b *cluster) {
 		var frozen *faker.Engine
-		b.disturb(func(e *faker.Engine) {
+		b.assertFaultTolerated(func(e *faker.Engine) {
 			frozen = e
 			e.Pause()
 		})
@@ -66,36 +65,35 @@
 	})
 }
 
-// TestStageReloaded guards against tokens from layers that a reloaded stage skipped.
+// TestStageReloaded guards against tokens computed by a reloaded stage that skipped some layers.
 func TestStageReloaded(t *testing.T) {
-	run(t, 12, func(b *bench) {
-		b.disturb(func(e *faker.Engine) { e.ReportWrongSpanFor(5 * time.Second) })
-		b.disturb(func(e *faker.Engine) {
+	runCluster(t, 12, func(b *cluster) {
+		b.assertFaultTolerated(func(e *faker.Engine) { e.ReportWrongSpanFor(5 * time.Second) })
+		b.assertFaultTolerated(func(e *faker.Engine) {
 			is.New(t).NoErr(e.Order(planner.Order{Fence: 1000, Target: planner.Target{Model: "m", Version: "other"}}))
 		})
 	})
 }
 
-// TestStageLeaves. A stage starts to leave while answers run through it. Those
-// are finished where they are; new ones go elsewhere.
+// TestStageLeaves checks that a leaving stage finishes its answers while new ones go elsewhere.
 func TestStageLeaves(t *testing.T) {
-	run(t, 13, func(b *bench) {
-		b.disturb(func(e *faker.Engine) { e.Leave() })
+	runCluster(t, 13, func(b *cluster) {
+		b.assertFaultTolerated(func(e *faker.Engine) { e.Leave() })
 	})
 }
 
-// TestSlowLink. A link between data centres becomes a hundred times slower in
-// mid-answer. Answers take longer or move, and stay whole.
+// TestSlowLink makes a link between data centres a hundred times slower in mid-answer. Answers
+// take longer or move, and stay complete.
 func TestSlowLink(t *testing.T) {
-	run(t, 14, func(b *bench) {
-		b.disturb(func(*faker.Engine) { b.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
+	runCluster(t, 14, func(b *cluster) {
+		b.assertFaultTolerated(func(*faker.Engine) { b.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
 	})
 }
 
-// TestDataCentreLost. All upstreams of a data centre die at once under load.
+// TestDataCentreLost kills all upstreams of a data centre at once under load.
 func TestDataCentreLost(t *testing.T) {
-	run(t, 15, func(b *bench) {
-		b.disturb(func(*faker.Engine) {
+	runCluster(t, 15, func(b *cluster) {
+		b.assertFaultTolerated(func(*faker.Engine) {
 			for _, e := range b.world.Fleet.Engines() {
 				if e.Upstream.DataCentre == "port" {
 					b.world.Kill(e.Upstream.Name)
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -14,37 +14,37 @@
 	"github.com/sardineward/sardineward/prober"
 )
 
-// leavingWithin is how long new work may still reach an upstream that leaves.
-const leavingWithin = 3 * time.Second
+// leavingNoticeTime bounds how long new work may still reach an upstream that leaves.
+const leavingNoticeTime = 3 * time.Second
 
-// assertNoNewWork runs a load and checks that an engine which began to leave at
-// start gets no new sequence after leavingWithin.
-func (b *bench) assertNoNewWork(e *faker.Engine, leave func()) {
+// assertNoNewWork generates load, makes engine e leave, and checks that e gets no new sequence
+// after leavingNoticeTime.
+func (b *cluster) assertNoNewWork(e *faker.Engine, leave func()) {
 	b.t.Helper()
-	stop := b.load(1, 10, func(reply) {})
+	stop := b.generateLoad(1, 10, func(reply) {})
 	defer stop()
 	time.Sleep(2 * time.Second)
 	is.New(b.t).True(e.SequencesStarted() > 0)
 	leave()
-	time.Sleep(leavingWithin)
-	before := e.SequencesStarted()
+	time.Sleep(leavingNoticeTime)
+	begun := e.SequencesStarted()
 	time.Sleep(8 * time.Second)
-	is.New(b.t).Equal(e.SequencesStarted(), before)
+	is.New(b.t).Equal(e.SequencesStarted(), begun)
 }
 
-// TestLeavingSeen. An engine says itself that it leaves: probes and answers tell
-// one host, urgent news all.
+// TestLeavingSeen checks that hosts learn of a leaving engine from its probes and answers, and
+// the other hosts from urgent gossip.
 func TestLeavingSeen(t *testing.T) {
-	run(t, 30, func(b *bench) {
+	runCluster(t, 30, func(b *cluster) {
 		e := b.world.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, e.Leave)
 	})
 }
 
-// TestLeavingListed. Only the platform's list says that an engine leaves; the
-// engine itself takes all it is given.
+// TestLeavingListed checks an engine that leaves by the platform's host list alone and still
+// accepts all requests itself.
 func TestLeavingListed(t *testing.T) {
-	run(t, 31, func(b *bench) {
+	runCluster(t, 31, func(b *cluster) {
 		e := b.world.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, func() {
 			b.world.HostList.Set(prober.ListedHost{Name: "port-front-0", Incarnation: e.Load().Incarnation, Leaving: true})
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestLeavingDrained. An operator drains an engine through one host.
+// TestLeavingDrained checks an engine that an operator drains through one host.
 func TestLeavingDrained(t *testing.T) {
-	run(t, 32, func(b *bench) {
+	runCluster(t, 32, func(b *cluster) {
 		e := b.world.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, func() {
 			r := b.admin(2, "/admin/v1/drain/port-front-0", "")
@@ -63,11 +63,11 @@
 	})
 }
 
-// TestLeavingGossipCut. An engine leaves while the data centres can't gossip
-// with each other, and the list is a minute late. Each host then learns it from
-// the engine's own refusal, which costs each one request that never ran there.
+// TestLeavingGossipCut checks an engine that leaves while hosts can't gossip and the host list is
+// a minute late: each host learns it from the engine's refusal, at the cost of one request not
+// run.
 func TestLeavingGossipCut(t *testing.T) {
-	run(t, 33, func(b *bench) {
+	runCluster(t, 33, func(b *cluster) {
 		b.world.HostList.Delay = time.Minute
 		for i := range 4 {
 			for j := range i {
@@ -79,27 +79,27 @@
 	})
 }
 
-// TestLeavingAndBack. An engine leaves, is replaced, and comes back with a newer
-// incarnation while old news of its leaving still goes round. It must get work.
+// TestLeavingAndBack guards against an engine that gets no work after its restart, since gossip
+// still carries the leaving state of its earlier incarnation.
 func TestLeavingAndBack(t *testing.T) {
-	run(t, 34, func(b *bench) {
+	runCluster(t, 34, func(b *cluster) {
 		e := b.world.Fleet.Engine("port-front-0")
 		e.Leave()
 		time.Sleep(5 * time.Second)
 		is.New(t).NoErr(b.world.Restart("port-front-0"))
 		before := e.SequencesStarted()
-		stop := b.load(1, 10, func(reply) {})
+		stop := b.generateLoad(1, 10, func(reply) {})
 		defer stop()
 		b.await(10*time.Second, func() bool { return e.SequencesStarted() > before })
 	})
 }
 
-// TestRollingReplacement. Each host in turn is stopped by SIGTERM under load and
-// replaced, as in an upgrade. No answer may be cut off.
+// TestRollingReplacement stops each host in turn gracefully under load and replaces it, as an
+// upgrade does. No answer may be cut off.
 func TestRollingReplacement(t *testing.T) {
 	for name, out := range map[string]bool{"platform up": false, "platform out": true} {
 		t.Run(name, func(t *testing.T) {
-			run(t, 35, func(b *bench) {
+			runCluster(t, 35, func(b *cluster) {
 				b.world.Platform.SetFaults(faker.Faults{Unavailable: out})
 				for i := range 4 {
 					b.replace(i)
@@ -109,31 +109,30 @@
 	}
 }
 
-// replace stops a host in the middle of answers that outlast the balancer's
-// lag, and starts it again.
-func (b *bench) replace(i int) {
+// replace stops host i during answers that last longer than the balancer takes to notice, and
+// starts it again.
+func (b *cluster) replace(i int) {
 	const long = 800
 	var wg sync.WaitGroup
 	for k := range 4 {
 		prompt := fmt.Sprintf("long %d %d", i, k)
-		wg.Go(func() { b.assertWhole(b.generate(context.Background(), i, prompt, long), prompt, long) })
+		wg.Go(func() { b.assertComplete(b.generate(context.Background(), i, prompt, long), prompt, long) })
 	}
 	time.Sleep(500 * time.Millisecond)
 	e := b.hosts[i]
 	e.stop()
 	prompt := "the balancer still sends"
 	time.Sleep(time.Second)
-	b.assertWhole(b.generate(context.Background(), i, prompt, 20), prompt, 20)
+	b.assertComplete(b.generate(context.Background(), i, prompt, 20), prompt, 20)
 	is.New(b.t).NoErr(<-e.done)
 	wg.Wait()
 	b.start(i)
 	b.await(20*time.Second, b.hosts[i].Ready)
 }
 
-// TestTwoStops. Two hosts are stopped at the same time, with long answers on
-// both.
-func TestTwoStops(t *testing.T) {
-	run(t, 36, func(b *bench) {
+// TestConcurrentStops stops two hosts at the same time, with long answers on both.
+func TestConcurrentStops(t *testing.T) {
+	runCluster(t, 36, func(b *cluster) {
 		var wg sync.WaitGroup
 		for i := range 2 {
 			wg.Go(func() { b.replace(i) })
@@ -142,9 +141,9 @@
 	})
 }
 
-// TestStopAtLastByte guards against a stop that cuts the last chunk of a slowly read stream.
+// TestStopAtLastByte guards against a stop that cuts off the last chunk of a slowly read stream.
 func TestStopAtLastByte(t *testing.T) {
-	run(t, 37, func(b *bench) {
+	runCluster(t, 37, func(b *cluster) {
 		is := is.New(t)
 		conn, err := b.net.Dialer("caller")(context.Background(), "tcp", "10.0.0.1:80")
 		is.NoErr(err)
--- a/runner/news.go
+++ b/runner/news.go
@@ -14,25 +14,25 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// news tells other hosts what this one saw.
-type news struct{ *Host }
+// announcer implements router.Announcer: it tells other hosts what this host observed.
+type announcer struct{ *Host }
 
-// AnnounceLeaving implements router.News.
-func (n news) AnnounceLeaving(upstream string, incarnation int64) {
+// AnnounceLeaving implements router.Announcer.
+func (n announcer) AnnounceLeaving(upstream string, incarnation int64) {
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_LEAVING, Key: upstream, Incarnation: incarnation, State: 1})
 }
 
-// AnnounceDown implements router.News. Only an upstream's own probers speak for it: a
-// host that merely can't reach it, over a cut link, would set all others
-// against what they see.
-func (n news) AnnounceDown(upstream string, incarnation int64, down bool) {
-	u, ok := n.track.Upstream(upstream)
-	if !ok || u.DataCentre != n.Settings.DataCentre || !n.probe.Owns("probe/"+upstream, prober.ProbersPerUpstream) {
+// AnnounceDown implements router.Announcer. Only the probers of an upstream announce its state: a
+// host that can't reach it because of a broken link would otherwise override the observations of
+// all other hosts.
+func (n announcer) AnnounceDown(upstream string, incarnation int64, down bool) {
+	u, ok := n.upstreamTracker.Upstream(upstream)
+	if !ok || u.DataCentre != n.Settings.DataCentre || !n.upstreamProber.Owns("probe/"+upstream, prober.ProbersPerUpstream) {
 		return
 	}
-	n.track.RecordProberReport(time.Now(), upstream, incarnation, down)
-	// Within an incarnation the state counts up, odd for down, so that the
-	// last word wins.
+	n.upstreamTracker.RecordProberReport(time.Now(), upstream, incarnation, down)
+	// Within an incarnation the state only increases and is odd while the upstream is down, so
+	// the latest announcement wins.
 	var state int32
 	if it := n.gossip.Get(peer.ItemKind_ITEM_KIND_UPSTREAM, upstream); it != nil && it.Incarnation == incarnation {
 		if it.State%2 == 1 == down {
@@ -45,8 +45,8 @@
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_UPSTREAM, Key: upstream, Incarnation: incarnation, State: state})
 }
 
-// AnnounceStrike implements router.News.
-func (n news) AnnounceStrike(s tracker.Strike) {
+// AnnounceStrike implements router.Announcer.
+func (n announcer) AnnounceStrike(s tracker.Strike) {
 	it := &peer.Item{Kind: peer.ItemKind_ITEM_KIND_STRIKE, Key: s.Key(), State: 1, Expires: s.Expires.UnixMilli()}
 	if s.Cleared {
 		it.State = 2
@@ -54,59 +54,59 @@
 	n.gossip.Publish(true, it)
 }
 
-// ProbeSoon implements router.News.
-func (n news) ProbeSoon(upstreams []string) { n.probe.ProbeNow(upstreams) }
+// ProbeSoon implements router.Announcer.
+func (n announcer) ProbeSoon(upstreams []string) { n.upstreamProber.ProbeNow(upstreams) }
 
-// FindUnresponsive implements router.News. A probe is given as long as a stall takes to
-// show, twice the round trip at the least.
-func (n news) FindUnresponsive(ctx context.Context, upstreams []string) string {
+// FindUnresponsive implements router.Announcer. The probe timeout is the shortest silence that
+// counts as a stall, which is at least twice the round trip.
+func (n announcer) FindUnresponsive(ctx context.Context, upstreams []string) string {
 	ctx, cancel := context.WithTimeout(ctx, ms(n.Settings.Timing.StallFloorMs))
 	defer cancel()
-	return n.probe.FindUnresponsive(ctx, upstreams)
+	return n.upstreamProber.FindUnresponsive(ctx, upstreams)
 }
 
-// heard takes in what is new, from this host or another.
-func (h *Host) heard(items []*peer.Item) {
+// applyItems passes new gossip items, from this host or others, to the parts that use them.
+func (h *Host) applyItems(items []*peer.Item) {
 	for _, it := range items {
-		h.learn(it)
+		h.applyItem(it)
 	}
 }
 
-func (h *Host) learn(it *peer.Item) {
+func (h *Host) applyItem(it *peer.Item) {
 	switch it.Kind {
 	case peer.ItemKind_ITEM_KIND_LEAVING:
-		h.track.MarkLeaving(it.Key, it.Incarnation)
+		h.upstreamTracker.MarkLeaving(it.Key, it.Incarnation)
 	case peer.ItemKind_ITEM_KIND_UPSTREAM:
-		h.track.RecordProberReport(time.Now(), it.Key, it.Incarnation, it.State%2 == 1)
+		h.upstreamTracker.RecordProberReport(time.Now(), it.Key, it.Incarnation, it.State%2 == 1)
 	case peer.ItemKind_ITEM_KIND_STRIKE:
 		s, err := tracker.ParseStrike(it.Key, time.UnixMilli(it.Expires), it.State == 2)
 		if err != nil {
-			h.Log.Warn().Err(err).Msg("runner: strike can't be read")
+			h.Log.Warn().Err(err).Msg("runner: malformed strike ignored")
 			return
 		}
-		h.susp.Add(s)
+		h.suspects.Add(s)
 	case peer.ItemKind_ITEM_KIND_REVISION:
-		h.watch.Heard(it.Incarnation)
+		h.configWatcher.Heard(it.Incarnation)
 	default:
 	}
 }
 
-// relearn tells the tracker again what gossip knows of upstreams that a new
-// configuration may just have brought.
-func (h *Host) relearn() {
+// reapplyGossip passes the known states of upstreams to the tracker again, since a new
+// configuration may have added upstreams that the tracker didn't know.
+func (h *Host) reapplyGossip() {
 	for _, kind := range []peer.ItemKind{peer.ItemKind_ITEM_KIND_LEAVING, peer.ItemKind_ITEM_KIND_UPSTREAM} {
-		h.heard(h.gossip.All(kind))
+		h.applyItems(h.gossip.All(kind))
 	}
 }
 
-// asker asks other hosts for the fate of idempotency records.
-type asker struct{ *Host }
+// claimQuerier asks other hosts about the state of their idempotency claims.
+type claimQuerier struct{ *Host }
 
-// QueryClaim implements deduplicator.Asker.
-func (a asker) QueryClaim(ctx context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
+// QueryClaim implements deduplicator.ClaimQuerier.
+func (a claimQuerier) QueryClaim(ctx context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
 	c := a.gossip.ClientAt(rec.Host, rec.Address)
 	if c == nil {
-		return false, false, fmt.Errorf("host %s is gone", rec.Host)
+		return false, false, fmt.Errorf("host %q is no longer known", rec.Host)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -117,16 +117,16 @@
 	return resp.Running, resp.Abandoned, nil
 }
 
-// fetcher gets configuration from other hosts.
-type fetcher struct{ *Host }
+// configurationFetcher fetches configuration heads and parts from other hosts.
+type configurationFetcher struct{ *Host }
 
-// Fetch implements watcher.Fetcher. It asks a few hosts at random, those of
-// this data centre first.
-func (f fetcher) Fetch(ctx context.Context, part string, atLeast int64) ([]byte, error) {
-	const tries = 4
-	for _, it := range f.candidates(tries) {
-		one, cancel := context.WithTimeout(ctx, 2*time.Second)
-		resp, err := f.gossip.Dial(it.Host.GetAddress()).Configuration(one, &peer.ConfigurationRequest{Part: part})
+// Fetch implements watcher.Fetcher. It asks up to maxPeers random hosts, those of this data
+// centre first.
+func (f configurationFetcher) Fetch(ctx context.Context, part string, atLeast int64) ([]byte, error) {
+	const maxPeers = 4
+	for _, it := range f.candidates(maxPeers) {
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		resp, err := f.gossip.Dial(it.Host.GetAddress()).Configuration(callCtx, &peer.ConfigurationRequest{Part: part})
 		cancel()
 		if err == nil && len(resp.Body) > 0 && (part != "" || resp.Revision >= atLeast) {
 			return resp.Body, nil
@@ -135,19 +135,19 @@
 	return nil, errNoPeer
 }
 
-func (f fetcher) candidates(n int) []*peer.Item {
-	var near, far []*peer.Item
+func (f configurationFetcher) candidates(n int) []*peer.Item {
+	var sameDataCentre, otherDataCentres []*peer.Item
 	for _, it := range f.gossip.Live() {
 		switch {
 		case it.Key == f.Settings.Host || gossiper.StateOf(it) == gossiper.HostSuspect:
 		case it.Host.GetDataCentre() == f.Settings.DataCentre:
-			near = append(near, it)
+			sameDataCentre = append(sameDataCentre, it)
 		default:
-			far = append(far, it)
+			otherDataCentres = append(otherDataCentres, it)
 		}
 	}
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	all := slices.Concat(near[:min(len(near), n-1)], far)
+	rand.Shuffle(len(sameDataCentre), func(i, j int) { sameDataCentre[i], sameDataCentre[j] = sameDataCentre[j], sameDataCentre[i] })
+	rand.Shuffle(len(otherDataCentres), func(i, j int) { otherDataCentres[i], otherDataCentres[j] = otherDataCentres[j], otherDataCentres[i] })
+	all := slices.Concat(sameDataCentre[:min(len(sameDataCentre), n-1)], otherDataCentres)
 	return all[:min(len(all), n)]
 }
--- a/runner/once_test.go
+++ b/runner/once_test.go
@@ -18,17 +18,16 @@
 
 func booking(id string) string { return `{"id":"` + id + `"}` }
 
-// assertOnce checks that a booking ran exactly once.
-func (b *bench) assertOnce(id string) {
+// assertRanOnce checks that a booking ran exactly once.
+func (b *cluster) assertRanOnce(id string) {
 	b.t.Helper()
 	is.New(b.t).Equal(b.world.Services["desk"].Runs(id), 1)
 }
 
-// TestRepeatsAtOnce. A trader's program sends a confirmation through all entry
-// hosts at the same moment. Each host found no record and dispatched. Now one
-// claims it, and the others answer with its outcome or say that it runs.
+// TestRepeatsAtOnce guards against a call that runs once per host when all hosts get it at once.
+// One host claims it; the others answer with its outcome or refuse it as running.
 func TestRepeatsAtOnce(t *testing.T) {
-	run(t, 20, func(b *bench) {
+	runCluster(t, 20, func(b *cluster) {
 		b.world.Services["desk"].SetDelay(300 * time.Millisecond)
 		for n := range 5 {
 			id := fmt.Sprint("lot ", n)
@@ -43,29 +42,31 @@
 					b.assertRefused(r, "running", false)
 				}
 			}
-			b.assertOnce(id)
+			b.assertRanOnce(id)
 		}
 	})
 }
 
-// TestJoinedHostAsked guards against a host that has just joined being taken for gone.
+// TestJoinedHostAsked guards against treating the claim of a host that has just joined as the
+// claim of a dead host.
 func TestJoinedHostAsked(t *testing.T) {
-	run(t, 31, func(b *bench) {
+	runCluster(t, 31, func(b *cluster) {
 		b.world.Services["desk"].SetDelay(2 * time.Second)
-		b.start(atFirst)
-		b.await(10*time.Second, b.hosts[atFirst].Ready)
+		b.start(initialHosts)
+		b.await(10*time.Second, b.hosts[initialHosts].Ready)
 		first := make(chan reply, 1)
-		go func() { first <- b.post(atFirst, bookings, booking("lot"), nil) }()
+		go func() { first <- b.post(initialHosts, bookings, booking("lot"), nil) }()
 		time.Sleep(500 * time.Millisecond)
 		b.assertRefused(b.post(0, bookings, booking("lot"), nil), "running", false)
 		is.New(t).Equal((<-first).status, http.StatusOK)
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestLostWriteAnswer guards against a confirmation that runs twice after a lost answer.
+// TestLostWriteAnswer guards against a call that runs twice because the platform's answer to a
+// write was lost.
 func TestLostWriteAnswer(t *testing.T) {
-	run(t, 21, func(b *bench) {
+	runCluster(t, 21, func(b *cluster) {
 		lost := 0
 		b.world.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
 			lost++
@@ -76,32 +77,30 @@
 			is := is.New(t)
 			is.Equal(b.post(n%4, bookings, booking(id), nil).status, 200)
 			b.await(5*time.Second, func() bool { return b.post((n+1)%4, bookings, booking(id), nil).status == 200 })
-			b.assertOnce(id)
+			b.assertRanOnce(id)
 		}
 	})
 }
 
-// TestPlatformOut. The platform is out when a booking comes. It can't be
-// recorded, so it is refused as not run; generations and idempotent calls go on.
-// Once the platform is back the same booking runs, once.
+// TestPlatformOut checks that a booking is refused as not run while the platform is down, that
+// generations and idempotent calls go on, and that the booking runs once afterwards.
 func TestPlatformOut(t *testing.T) {
-	run(t, 22, func(b *bench) {
+	runCluster(t, 22, func(b *cluster) {
 		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
 		r := b.post(0, bookings, booking("lot"), nil)
 		b.assertRefused(r, "platform", true)
 		is.New(t).Equal(b.post(0, "/services/desk/search", "{}", nil).status, 200)
-		b.assertWhole(b.generate(context.Background(), 0, "p", 5), "p", 5)
+		b.assertComplete(b.generate(context.Background(), 0, "p", 5), "p", 5)
 		b.world.Platform.SetFaults(faker.Faults{})
 		is.New(t).Equal(b.post(0, bookings, booking("lot"), nil).status, 200)
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestPlatformLostDuring. The platform goes out between a booking's record and
-// its outcome. The caller still gets the answer; a repeat is told that the call
-// runs, and gets the outcome once it could be recorded.
+// TestPlatformLostDuring takes the platform down between a booking's record and its outcome: the
+// caller gets the answer, and a repeat is refused until the outcome is recorded.
 func TestPlatformLostDuring(t *testing.T) {
-	run(t, 23, func(b *bench) {
+	runCluster(t, 23, func(b *cluster) {
 		b.world.Services["desk"].SetDelay(time.Second)
 		done := make(chan reply)
 		go func() { done <- b.post(0, bookings, booking("lot"), nil) }()
@@ -113,15 +112,14 @@
 		b.assertRefused(b.post(1, bookings, booking("lot"), nil), "platform", true)
 		b.world.Platform.SetFaults(faker.Faults{})
 		b.await(15*time.Second, func() bool { return b.post(1, bookings, booking("lot"), nil).body == first.body })
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestHostKilledAfterSend. The host that sent a booking dies before it recorded
-// the outcome. A repeat through another host must neither run it nor say that it
-// didn't run.
+// TestHostKilledAfterSend kills a host that sent a booking before it recorded the outcome. A
+// repeat through another host must neither run the booking nor report it as not run.
 func TestHostKilledAfterSend(t *testing.T) {
-	run(t, 24, func(b *bench) {
+	runCluster(t, 24, func(b *cluster) {
 		b.world.Services["desk"].SetDelay(2 * time.Second)
 		go b.post(0, bookings, booking("lot"), nil)
 		time.Sleep(time.Second)
@@ -132,77 +130,74 @@
 		b.start(0)
 		b.await(20*time.Second, b.hosts[0].Ready)
 		b.assertRefused(b.post(0, bookings, booking("lot"), nil), "outcomeUnknown", false)
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestAnswerLostUpstream. The instance runs a booking and its connection breaks
-// before the answer. Retrying it on another instance booked it twice.
+// TestAnswerLostUpstream guards against a booking that runs twice: an instance ran it, the
+// connection broke before the answer, and a retry on another instance would run it again.
 func TestAnswerLostUpstream(t *testing.T) {
-	run(t, 25, func(b *bench) {
+	runCluster(t, 25, func(b *cluster) {
 		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		b.assertRefused(b.post(0, bookings, booking("lot"), nil), "outcomeUnknown", false)
 		b.world.Services["desk"].DropResponseWhen(nil)
 		b.await(5*time.Second, func() bool {
 			r := b.post(1, bookings, booking("lot"), nil)
-			return r.refuse != nil && r.refuse.Reason == "outcomeUnknown"
+			return r.refusal != nil && r.refusal.Reason == "outcomeUnknown"
 		})
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestCutOff. A data centre is cut off from the platform. Its hosts refuse
-// bookings as not run and go on with the rest; the other hosts book.
-func TestCutOff(t *testing.T) {
-	run(t, 26, func(b *bench) {
-		b.net.Partition("port", platformPlace)
+// TestPlatformUnreachable checks that hosts cut off from the platform refuse bookings as not run
+// and serve all else, while the other hosts take bookings.
+func TestPlatformUnreachable(t *testing.T) {
+	runCluster(t, 26, func(b *cluster) {
+		b.net.Partition("port", platformSite)
 		b.assertRefused(b.post(1, bookings, booking("lot"), map[string]string{"Deadline-Ms": "20000"}), "platform", true)
-		b.assertWhole(b.generate(context.Background(), 1, "p", 5), "p", 5)
+		b.assertComplete(b.generate(context.Background(), 1, "p", 5), "p", 5)
 		is.New(t).Equal(b.post(0, bookings, booking("lot"), nil).status, 200)
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestAbandonedTakenOver. No instance is up when a booking comes; its record is
-// written and nothing is sent. A repeat through another host, once an instance
-// is back, must run it.
+// TestAbandonedTakenOver checks a booking that was recorded but not sent, since no instance was
+// up. A repeat through another host must run it once an instance is back.
 func TestAbandonedTakenOver(t *testing.T) {
-	run(t, 27, func(b *bench) {
-		for _, dc := range centres {
+	runCluster(t, 27, func(b *cluster) {
+		for _, dc := range dataCentres {
 			b.world.Kill(dc + "-desk-0")
 		}
 		r := b.post(0, bookings, booking("lot"), map[string]string{"Deadline-Ms": "3000"})
 		b.assertRefused(r, "noRoute", true)
-		for _, dc := range centres {
+		for _, dc := range dataCentres {
 			is.New(t).NoErr(b.world.Restart(dc + "-desk-0"))
 		}
 		time.Sleep(5 * time.Second)
 		is.New(t).Equal(b.post(2, bookings, booking("lot"), nil).status, 200)
-		b.assertOnce("lot")
+		b.assertRanOnce("lot")
 	})
 }
 
-// TestKeyedEmptyBody. A release has its key in the header and no body, and goes
-// out on a kept connection that the instance has just closed. net/http takes the
-// header for leave to send it again.
+// TestKeyedEmptyBody guards against net/http, which resends a request with an idempotency key
+// header and no body by itself when the kept connection turns out to be closed.
 func TestKeyedEmptyBody(t *testing.T) {
-	run(t, 28, func(b *bench) {
+	runCluster(t, 28, func(b *cluster) {
 		fail := false
 		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return fail })
 		for n := range 6 {
 			fail = n%2 == 1
 			b.post(0, bookings, "", map[string]string{"Idempotency-Key": fmt.Sprint("k", n)})
-			b.assertOnce(fmt.Sprint("k", n))
+			b.assertRanOnce(fmt.Sprint("k", n))
 		}
 	})
 }
 
-// TestSingleShot. A call that operators declared single-shot comes without a
-// key. It is sent at most once, whatever happens.
+// TestSingleShot checks that a call declared single-shot, which has no key, is sent at most once.
 func TestSingleShot(t *testing.T) {
-	run(t, 29, func(b *bench) {
+	runCluster(t, 29, func(b *cluster) {
 		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		b.assertRefused(b.post(0, "/services/desk/once", "{}", nil), "outcomeUnknown", false)
-		b.assertOnce("")
+		b.assertRanOnce("")
 	})
 }
--- a/runner/path_test.go
+++ b/runner/path_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// TestPath sends one of each kind of request through every host.
-func TestPath(t *testing.T) {
-	run(t, 1, func(b *bench) {
+// TestEveryHostServes sends a generation, a booking and its repeat through every host.
+func TestEveryHostServes(t *testing.T) {
+	runCluster(t, 1, func(b *cluster) {
 		for i := range b.hosts {
 			prompt := fmt.Sprint("quote ", i)
-			b.assertWhole(b.generate(context.Background(), i, prompt, 10), prompt, 10)
+			b.assertComplete(b.generate(context.Background(), i, prompt, 10), prompt, 10)
 			id := fmt.Sprintf(`{"id":"b-%d"}`, i)
 			first := b.post(i, "/services/desk/bookings", id, nil)
 			again := b.post((i+1)%4, "/services/desk/bookings", id, nil)
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -20,18 +20,18 @@
 	from    = flag.Int("from", 1, "first seed")
 )
 
-// TestRandom draws faults of all kinds, together and twice, under a load of
-// generations and bookings, and checks every answer. The invariants that the
-// program asserts about itself fail it too. The long run is
+// TestRandom injects random faults, also several at once, under a load of generations and
+// bookings, and checks every answer. Violated invariants of the hosts fail it too. The long run
+// is
 //
 //	go test ./runner -run TestRandom -seeds 100 -minutes 15 -timeout 60m
 func TestRandom(t *testing.T) {
 	for i := range *seeds {
 		seed := uint64(*from + i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			run(t, seed, func(b *bench) {
+			runCluster(t, seed, func(b *cluster) {
 				c := &chaos{
-					bench: b, rnd: rand.New(rand.NewPCG(seed, 0)), lostRnd: rand.New(rand.NewPCG(seed, 99)),
+					cluster: b, rnd: rand.New(rand.NewPCG(seed, 0)), lostAnswerRnd: rand.New(rand.NewPCG(seed, 99)),
 					bookings: make(map[string]string), refused: make(map[string]int), ended: make(map[int]bool), revision: 1, racing: make(chan struct{}, 1),
 				}
 				c.run(time.Duration(*minutes) * time.Minute)
@@ -40,32 +40,32 @@
 	}
 }
 
-// chaos is one randomised run. Faults come and go in its own goroutine only.
+// chaos is one randomised run. Faults are injected and undone by the goroutine of run only.
 type chaos struct {
-	*bench
+	*cluster
 	rnd *rand.Rand
 	wg  sync.WaitGroup
-	// due are the ends of faults.
-	due      []due
-	faulting bool
+	// pending are the undo functions of the active faults, with their times.
+	pending        []pendingUndo
+	platformFaulty bool
 
 	mu sync.Mutex
-	// bookings holds the first whole answer of each key.
-	bookings map[string]string
-	whole    int
-	refused  map[string]int
-	lostRnd  *rand.Rand
-	ended    map[int]bool
+	// bookings holds the first complete answer of each key.
+	bookings      map[string]string
+	complete      int
+	refused       map[string]int
+	lostAnswerRnd *rand.Rand
+	ended         map[int]bool
 
-	// racing admits one race of operators at a time. It is no mutex: virtual
-	// time stands still while one is waited for.
+	// racing admits one race of operators at a time. It is a channel since virtual time doesn't
+	// advance while a goroutine waits for a mutex.
 	racing   chan struct{}
 	revision int64
 }
 
-type due struct {
-	at time.Time
-	do func()
+type pendingUndo struct {
+	at   time.Time
+	undo func()
 }
 
 func (c *chaos) run(d time.Duration) {
@@ -73,48 +73,48 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	for n := range 6 {
 		rnd := rand.New(rand.NewPCG(c.seed, uint64(n)+10))
-		c.wg.Go(func() { c.caller(ctx, rnd, n) })
+		c.wg.Go(func() { c.runCaller(ctx, rnd, n) })
 	}
 	var next time.Time
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(step) {
-		c.undo()
+		c.undoDue()
 		if time.Now().After(next) {
-			c.fault()
+			c.injectFault()
 			next = time.Now().Add(time.Duration(c.rnd.IntN(8000)) * time.Millisecond)
 		}
 	}
-	for len(c.due) > 0 {
+	for len(c.pending) > 0 {
 		time.Sleep(step)
-		c.undo()
+		c.undoDue()
 	}
 	cancel()
 	c.wg.Wait()
-	c.settle()
-	c.check()
+	c.awaitRecovery()
+	c.checkResults()
 }
 
-// undo ends the faults that are due.
-func (c *chaos) undo() {
-	var later, now []due
-	for _, u := range c.due {
+// undoDue undoes the faults whose time has come.
+func (c *chaos) undoDue() {
+	var later, now []pendingUndo
+	for _, u := range c.pending {
 		if u.at.After(time.Now()) {
 			later = append(later, u)
 			continue
 		}
 		now = append(now, u)
 	}
-	c.due = later
+	c.pending = later
 	for _, u := range now {
-		u.do()
+		u.undo()
 	}
 }
 
-func (c *chaos) after(d time.Duration, f func()) {
-	c.due = append(c.due, due{time.Now().Add(d), f})
+func (c *chaos) undoAfter(d time.Duration, f func()) {
+	c.pending = append(c.pending, pendingUndo{time.Now().Add(d), f})
 }
 
-// caller sends one request after another, with pauses.
-func (c *chaos) caller(ctx context.Context, rnd *rand.Rand, n int) {
+// runCaller sends requests one after another with random pauses until ctx ends.
+func (c *chaos) runCaller(ctx context.Context, rnd *rand.Rand, n int) {
 	for k := 0; ctx.Err() == nil; k++ {
 		i := rnd.IntN(4)
 		switch rnd.IntN(6) {
@@ -123,40 +123,39 @@
 		case 1:
 			c.abandon(i, fmt.Sprintf("gone %d %d", n, k), rnd)
 		default:
-			c.ask(i, fmt.Sprintf("ask %d %d", n, k), 5+rnd.IntN(40))
+			c.generateOne(i, fmt.Sprintf("ask %d %d", n, k), 5+rnd.IntN(40))
 		}
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 	}
 }
 
-func (c *chaos) ask(i int, prompt string, tokens int) {
+func (c *chaos) generateOne(i int, prompt string, tokens int) {
 	r := c.generate(context.Background(), i, prompt, tokens)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case r.whole:
-		c.whole++
+	case r.complete:
+		c.complete++
 		if r.text != faker.Answer(prompt, tokens) {
-			c.t.Errorf("answer to %q is another: %q", prompt, r.text)
+			c.t.Errorf("wrong answer to %q: %q", prompt, r.text)
 		}
 	case !strings.HasPrefix(faker.Answer(prompt, tokens), r.text):
-		c.t.Errorf("part of the answer to %q is another: %q", prompt, r.text)
-	case r.refuse != nil:
-		c.refused[r.refuse.Reason]++
-		c.notRun(r)
+		c.t.Errorf("partial answer is wrong for %q: %q", prompt, r.text)
+	case r.refusal != nil:
+		c.refused[r.refusal.Reason]++
+		c.checkNotRun(r)
 	}
 }
 
-// notRun checks the claim against what the upstreams saw.
-func (c *chaos) notRun(r reply) {
-	id := r.refuse.RequestID
-	if r.refuse.NotRun && c.world.Fleet.Attempts(id)+c.world.Services["desk"].Requests(id) > 0 {
-		c.t.Errorf("request %s was refused as not run, and ran: %+v", id, r.refuse)
+// checkNotRun checks that no upstream started a request that was refused as not run.
+func (c *chaos) checkNotRun(r reply) {
+	id := r.refusal.RequestID
+	if r.refusal.NotRun && c.world.Fleet.Attempts(id)+c.world.Services["desk"].Requests(id) > 0 {
+		c.t.Errorf("request %s was refused as not run, but an upstream started it: %+v", id, r.refusal)
 	}
 }
 
-// book sends a booking and its repeats, some at the same moment, through
-// different hosts.
+// book sends a booking and its repeats through different hosts, some at the same time.
 func (c *chaos) book(i int, id string, rnd *rand.Rand) {
 	var wg sync.WaitGroup
 	for k := range 1 + rnd.IntN(3) {
@@ -164,36 +163,36 @@
 		pause := time.Duration(rnd.IntN(3)) * time.Duration(rnd.IntN(1500)) * time.Millisecond
 		wg.Go(func() {
 			time.Sleep(pause)
-			c.booked(id, c.post(host, "/services/desk/bookings", `{"id":"`+id+`"}`, map[string]string{"Deadline-Ms": "20000"}))
+			c.recordBooking(id, c.post(host, "/services/desk/bookings", `{"id":"`+id+`"}`, map[string]string{"Deadline-Ms": "20000"}))
 		})
 	}
 	wg.Wait()
 }
 
-func (c *chaos) booked(id string, r reply) {
+func (c *chaos) recordBooking(id string, r reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case r.whole && r.status == 200:
+	case r.complete && r.status == 200:
 		if first, ok := c.bookings[id]; ok && first != r.body {
 			c.t.Errorf("booking %s answered %q, then %q", id, first, r.body)
 		}
 		c.bookings[id] = r.body
-	case r.refuse != nil:
-		c.refused[r.refuse.Reason]++
-		c.notRun(r)
+	case r.refusal != nil:
+		c.refused[r.refusal.Reason]++
+		c.checkNotRun(r)
 	}
 }
 
-// abandon asks and goes away in mid-answer.
+// abandon starts a generation and disconnects before its end.
 func (c *chaos) abandon(i int, prompt string, rnd *rand.Rand) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rnd.IntN(300))*time.Millisecond)
 	defer cancel()
 	c.generate(ctx, i, prompt, 40)
 }
 
-// fault causes one thing and undoes it later.
-func (c *chaos) fault() {
+// injectFault injects one random fault and schedules its undoing.
+func (c *chaos) injectFault() {
 	wait := func() time.Duration { return time.Duration(1+c.rnd.IntN(20)) * time.Second }
 	engines := c.world.Fleet.Engines()
 	e := engines[c.rnd.IntN(len(engines))]
@@ -201,30 +200,30 @@
 	switch c.rnd.IntN(12) {
 	case 0, 1:
 		c.world.Kill(e.Upstream.Name)
-		c.after(d, func() { _ = c.world.Restart(e.Upstream.Name) })
+		c.undoAfter(d, func() { _ = c.world.Restart(e.Upstream.Name) })
 	case 2:
 		e.Pause()
-		c.after(d, e.Resume)
+		c.undoAfter(d, e.Resume)
 	case 3:
 		e.Leave()
-		c.after(d, func() { _ = c.world.Restart(e.Upstream.Name) })
+		c.undoAfter(d, func() { _ = c.world.Restart(e.Upstream.Name) })
 	case 4:
 		c.platformFault(faker.Faults{Unavailable: true}, d)
 	case 5:
 		c.platformFault(faker.Faults{Delay: 2 * time.Second}, d)
 	case 6:
-		c.platformFault(faker.Faults{LoseResponse: c.loseSome}, d)
+		c.platformFault(faker.Faults{LoseResponse: c.loseHalf}, d)
 	case 7:
-		a, z := centres[c.rnd.IntN(3)], append(centres, platformPlace)[c.rnd.IntN(4)]
+		a, z := dataCentres[c.rnd.IntN(3)], append(dataCentres, platformSite)[c.rnd.IntN(4)]
 		if a != z {
 			c.net.Partition(a, z)
-			c.after(d, func() { c.net.Heal(a, z) })
+			c.undoAfter(d, func() { c.net.Heal(a, z) })
 		}
 	case 8:
 		c.restartHost(c.rnd.IntN(4), c.rnd.IntN(2) == 0, d)
 	case 9:
 		c.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond)
-		c.after(d, func() { c.world.Fleet.SetExtraLatency("north", "port", 0) })
+		c.undoAfter(d, func() { c.world.Fleet.SetExtraLatency("north", "port", 0) })
 	case 10:
 		c.reconfigure()
 	case 11:
@@ -232,26 +231,26 @@
 	}
 }
 
-func (c *chaos) loseSome(storer.Write) bool {
+func (c *chaos) loseHalf(storer.Write) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lostRnd.IntN(2) == 0
+	return c.lostAnswerRnd.IntN(2) == 0
 }
 
 func (c *chaos) platformFault(f faker.Faults, d time.Duration) {
-	if c.faulting {
+	if c.platformFaulty {
 		return
 	}
-	c.faulting = true
+	c.platformFaulty = true
 	c.world.Platform.SetFaults(f)
-	c.after(d, func() {
+	c.undoAfter(d, func() {
 		c.world.Platform.SetFaults(faker.Faults{})
-		c.faulting = false
+		c.platformFaulty = false
 	})
 }
 
-// restartHost kills or stops a host, and starts it anew once it has ended. The
-// load goes to its address all the while.
+// restartHost stops or kills a host, and starts it again once it has ended. Callers keep sending
+// requests to its address meanwhile.
 func (c *chaos) restartHost(i int, gently bool, d time.Duration) {
 	e := c.hosts[i]
 	if e == nil {
@@ -272,7 +271,7 @@
 		defer c.mu.Unlock()
 		c.ended[i] = true
 	})
-	c.after(d, func() { c.startEnded(i) })
+	c.undoAfter(d, func() { c.startEnded(i) })
 }
 
 func (c *chaos) startEnded(i int) {
@@ -284,20 +283,20 @@
 		c.start(i)
 		return
 	}
-	c.after(time.Second, func() { c.startEnded(i) })
+	c.undoAfter(time.Second, func() { c.startEnded(i) })
 }
 
-// reconfigure has two operators race.
+// reconfigure lets two operators submit at the same time.
 func (c *chaos) reconfigure() {
 	c.wg.Go(func() {
 		c.racing <- struct{}{}
 		defer func() { <-c.racing }()
-		c.revision = max(c.revision, race(c.bench, c.revision))
+		c.revision = max(c.revision, raceOperators(c.cluster, c.revision))
 	})
 }
 
-// settle waits until everything is whole again.
-func (c *chaos) settle() {
+// awaitRecovery waits until all hosts are ready and have the newest revision in force.
+func (c *chaos) awaitRecovery() {
 	c.await(2*time.Minute, func() bool {
 		for _, e := range c.hosts {
 			if e == nil || !e.Ready() || e.Status(context.Background()).Revision != c.revision {
@@ -308,7 +307,7 @@
 	})
 }
 
-func (c *chaos) check() {
+func (c *chaos) checkResults() {
 	for id, n := range c.world.Services["desk"].AllRuns() {
 		if n > 1 {
 			c.t.Errorf("booking %q ran %d times", id, n)
@@ -316,7 +315,7 @@
 	}
 	for i := range c.hosts {
 		prompt := fmt.Sprint("at last ", i)
-		c.assertWhole(c.generate(context.Background(), i, prompt, 10), prompt, 10)
+		c.assertComplete(c.generate(context.Background(), i, prompt, 10), prompt, 10)
 	}
-	c.t.Logf("seed %d: %d whole answers, %d bookings, refused %v, revision %d", c.seed, c.whole, len(c.bookings), c.refused, c.revision)
+	c.t.Logf("seed %d: %d whole answers, %d bookings, refused %v, revision %d", c.seed, c.complete, len(c.bookings), c.refused, c.revision)
 }
--- a/runner/refusal_test.go
+++ b/runner/refusal_test.go
@@ -13,10 +13,10 @@
 	"github.com/sardineward/sardineward/faker"
 )
 
-// TestRefusals provokes each refusal and checks its reason, that "not run" is
-// as told, and that no upstream started what was not run.
+// TestRefusals provokes refusals and checks the reason and notRun flag of each, and that no
+// upstream started a request that was refused as not run.
 func TestRefusals(t *testing.T) {
-	run(t, 40, func(b *bench) {
+	runCluster(t, 40, func(b *cluster) {
 		for _, row := range []struct {
 			name, reason, path, body string
 			header                   map[string]string
@@ -42,39 +42,38 @@
 	})
 }
 
-// TestRefusedKeyReused sends another booking under a key that was used.
+// TestRefusedKeyReused sends a different booking under a key that was used before.
 func TestRefusedKeyReused(t *testing.T) {
-	run(t, 41, func(b *bench) {
+	runCluster(t, 41, func(b *cluster) {
 		is.New(t).Equal(b.post(0, bookings, `{"id":"k","lot":1}`, nil).status, 200)
 		b.assertRefused(b.post(1, bookings, `{"id":"k","lot":2}`, nil), "keyReused", true)
-		b.assertOnce("k")
+		b.assertRanOnce("k")
 	})
 }
 
-// TestRefusedRateLimit. A workspace is limited to 2 requests a second over all
-// hosts; a burst through all of them is refused at once, with the time to come
-// back.
+// TestRefusedRateLimit sends a burst through all hosts for a workspace limited to 2 requests a
+// second overall. The excess is refused at once with a Retry-After.
 func TestRefusedRateLimit(t *testing.T) {
-	run(t, 42, func(b *bench) {
+	runCluster(t, 42, func(b *cluster) {
 		body := `{"model":"draft","prompt":"p","max_tokens":1}`
 		refused := 0
 		for n := range 40 {
 			r := b.post(n%4, "/v1/completions", body, map[string]string{"Authorization": "Bearer " + otherKey})
-			if r.refuse != nil {
+			if r.refusal != nil {
 				refused++
 				b.assertRefused(r, "rateLimit", true)
-				is.New(t).True(r.refuse.RetryAfter >= 1)
-				is.New(t).Equal(r.took, time.Duration(0))
+				is.New(t).True(r.refusal.RetryAfter >= 1)
+				is.New(t).Equal(r.elapsed, time.Duration(0))
 			}
 		}
 		is.New(t).True(refused >= 30)
 	})
 }
 
-// TestRefusedDeadline. All engines that hold the first layers are down. The
-// request waits for one, and gets its final answer when it can no longer be met.
+// TestRefusedDeadline sends a request while no engine with the first layers is up. It waits, and
+// is refused when its deadline can no longer be met.
 func TestRefusedDeadline(t *testing.T) {
-	run(t, 43, func(b *bench) {
+	runCluster(t, 43, func(b *cluster) {
 		for _, e := range b.world.Fleet.Engines() {
 			if e.Upstream.FirstLayer == 0 {
 				b.world.Kill(e.Upstream.Name)
@@ -83,13 +82,13 @@
 		time.Sleep(3 * time.Second)
 		r := b.send(context.Background(), 0, http.MethodPost, "/v1/completions", `{"model":"draft","prompt":"p"}`, map[string]string{"Deadline-Ms": "700"})
 		b.assertRefused(r, "deadline", true)
-		is.New(t).True(r.took <= 700*time.Millisecond)
+		is.New(t).True(r.elapsed <= 700*time.Millisecond)
 	})
 }
 
-// TestRefusedQueueFull. More requests wait than a host lets.
+// TestRefusedQueueFull sends one request more than the queue of a host holds.
 func TestRefusedQueueFull(t *testing.T) {
-	run(t, 44, func(b *bench) {
+	runCluster(t, 44, func(b *cluster) {
 		for _, e := range b.world.Fleet.Engines() {
 			b.world.Kill(e.Upstream.Name)
 		}
@@ -109,9 +108,9 @@
 	})
 }
 
-// TestRefusedNotReady asks a host that has no configuration yet.
+// TestRefusedNotReady sends a request to a host that has no configuration yet.
 func TestRefusedNotReady(t *testing.T) {
-	run(t, 45, func(b *bench) {
+	runCluster(t, 45, func(b *cluster) {
 		for i := range b.hosts {
 			b.kill(i)
 		}
@@ -123,35 +122,33 @@
 	})
 }
 
-// TestRefusedStopping asks a host that no longer takes requests while it
-// finishes others.
+// TestRefusedStopping sends a request to a stopping host that still finishes others.
 func TestRefusedStopping(t *testing.T) {
-	run(t, 46, func(b *bench) {
+	runCluster(t, 46, func(b *cluster) {
 		done := make(chan reply)
 		go func() { done <- b.generate(context.Background(), 0, "long", 1500) }()
 		time.Sleep(time.Second)
 		b.hosts[0].stop()
 		time.Sleep(4 * time.Second)
 		b.assertRefused(b.post(0, "/v1/completions", `{"model":"draft","prompt":"p"}`, nil), "stopping", true)
-		b.assertWhole(<-done, "long", 1500)
+		b.assertComplete(<-done, "long", 1500)
 	})
 }
 
-// TestPoison. One request crashes each engine that runs it, and its caller sends
-// it again through every host, several times. It used to take down engine after
-// engine. After two crashes, three where others were struck by both, it is refused
-// everywhere, and requests that were batched with it are answered.
+// TestPoison guards against a repeated request that crashes one engine after another. It is
+// refused everywhere after two crashes, three if other requests were in flight at both; the rest
+// is answered.
 func TestPoison(t *testing.T) {
-	run(t, 47, func(b *bench) {
-		stop := b.load(2, 30, func(r reply) {
-			if !r.whole {
-				t.Errorf("innocent request not answered: %+v %v", r.refuse, r.err)
+	runCluster(t, 47, func(b *cluster) {
+		stop := b.generateLoad(2, 30, func(r reply) {
+			if !r.complete {
+				t.Errorf("request other than the poison was not answered: refusal %+v, error %v", r.refusal, r.err)
 			}
 		})
 		time.Sleep(time.Second)
 		for n := range 12 {
 			r := b.generate(context.Background(), n%4, "a quote "+faker.Poison, 10)
-			is.New(t).Equal(r.refuse.Reason, "quarantined")
+			is.New(t).Equal(r.refusal.Reason, "quarantined")
 			time.Sleep(300 * time.Millisecond)
 		}
 		stop()
@@ -164,16 +161,15 @@
 	})
 }
 
-// TestRetryBudget. Every instance of a service breaks each call. Idempotent
-// calls are retried, but only from the budget: the load on the service must stay
-// near what callers send.
+// TestRetryBudget guards against retries that multiply the load on a failing service: idempotent
+// calls are retried only from the retry budget.
 func TestRetryBudget(t *testing.T) {
-	run(t, 48, func(b *bench) {
+	runCluster(t, 48, func(b *cluster) {
 		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		sent := 0
 		for n := range 300 {
 			r := b.post(n%4, "/services/desk/search", fmt.Sprintf(`{"n":%d}`, n), map[string]string{"Deadline-Ms": "3000"})
-			is.New(t).True(r.refuse != nil)
+			is.New(t).True(r.refusal != nil)
 			sent++
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -183,9 +179,9 @@
 	})
 }
 
-// TestCallerGone. A caller goes away in mid-answer; its run must end upstream.
+// TestCallerGone checks that a generation ends on the engines when its caller disconnects.
 func TestCallerGone(t *testing.T) {
-	run(t, 49, func(b *bench) {
+	runCluster(t, 49, func(b *cluster) {
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
 		b.generate(ctx, 0, "gone", 10000)
@@ -196,26 +192,26 @@
 	})
 }
 
-// TestSlowReader. A caller reads nothing of its stream. Its write deadline ends
-// it, and other callers' streams go on.
+// TestSlowReader checks that the write deadline ends the stream of a caller that doesn't read,
+// and that streams of other callers go on.
 func TestSlowReader(t *testing.T) {
-	run(t, 50, func(b *bench) {
+	runCluster(t, 50, func(b *cluster) {
 		conn, err := b.net.Dialer("caller")(context.Background(), "tcp", "10.0.0.1:80")
 		is.New(t).NoErr(err)
 		defer conn.Close()
 		body := `{"model":"draft","prompt":"slow","max_tokens":10000,"stream":true}`
 		fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", key, len(body), body)
 		time.Sleep(time.Second)
-		b.assertWhole(b.generate(context.Background(), 0, "fast", 50), "fast", 50)
+		b.assertComplete(b.generate(context.Background(), 0, "fast", 50), "fast", 50)
 		time.Sleep(15 * time.Second)
 		is.New(t).Equal(b.hosts[0].InFlight(), int64(0))
 	})
 }
 
-// TestSlowBody. A caller sends its body a byte now and then; it gets an error
-// and holds nothing.
+// TestSlowBody checks that a caller that sends its body too slowly gets an error and holds no
+// resources.
 func TestSlowBody(t *testing.T) {
-	run(t, 51, func(b *bench) {
+	runCluster(t, 51, func(b *cluster) {
 		conn, err := b.net.Dialer("caller")(context.Background(), "tcp", "10.0.0.1:80")
 		is.New(t).NoErr(err)
 		defer conn.Close()
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -15,9 +15,9 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// race has two operators submit against one revision, and returns the revision
-// that then stands. Exactly one may win.
-func race(b *bench, base int64) int64 {
+// raceOperators lets two operators submit against one revision, checks that exactly one wins, and
+// returns the resulting revision.
+func raceOperators(b *cluster, base int64) int64 {
 	cfg := configuration()
 	var revs [2]int64
 	var errs [2]error
@@ -48,21 +48,19 @@
 	return max(revs[0], revs[1], base)
 }
 
-// TestOperatorsRace. Two operators review revision 1 and submit different
-// configurations at once. Both used to be told that theirs was in force, and
-// one was gone. The head is swapped against the reviewed revision.
+// TestOperatorsRace guards against two operators who both win with different configurations
+// reviewed at revision 1: the head is swapped only against the reviewed revision.
 func TestOperatorsRace(t *testing.T) {
-	run(t, 2, func(b *bench) {
-		is.New(t).Equal(race(b, 1), int64(2))
+	runCluster(t, 2, func(b *cluster) {
+		is.New(t).Equal(raceOperators(b, 1), int64(2))
 		b.awaitRevision(8*time.Second, 2)
 	})
 }
 
-// TestLostSubmission. An operator submits, and the platform's answer is lost
-// after the write took effect. The operator's program tries again and is told
-// of a conflict with itself. The head remembers the id of each submission.
+// TestLostSubmission guards against a submission that conflicts with itself when the answer to
+// its write was lost and it is retried. The head keeps the id of each submission.
 func TestLostSubmission(t *testing.T) {
-	run(t, 3, func(b *bench) {
+	runCluster(t, 3, func(b *cluster) {
 		lost := 0
 		b.world.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
 			lost++
@@ -73,11 +71,10 @@
 	})
 }
 
-// TestStalePlatform. The platform answers reads from an old copy after a
-// failover of its own. Hosts that read it used to go back to the revision
-// before. Hosts only move to a higher revision.
+// TestStalePlatform guards against hosts that go back to an older revision when the platform
+// answers from an old copy after a failover. Hosts only move to a higher revision.
 func TestStalePlatform(t *testing.T) {
-	run(t, 4, func(b *bench) {
+	runCluster(t, 4, func(b *cluster) {
 		b.world.Platform.TakeSnapshot()
 		b.submit(1, configuration())
 		b.awaitRevision(8*time.Second, 2)
@@ -91,26 +88,25 @@
 	})
 }
 
-// TestFreshHost. A host is replaced while the platform is out. It has no
-// configuration, so it must not report ready, and takes the one its peers have.
+// TestFreshHost replaces a host while the platform is down. It must not report ready before it
+// has a configuration, and takes the one of its peers.
 func TestFreshHost(t *testing.T) {
-	run(t, 5, func(b *bench) {
+	runCluster(t, 5, func(b *cluster) {
 		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
 		b.kill(1)
 		e := b.start(1)
 		is.New(t).True(!e.Ready())
 		b.await(10*time.Second, e.Ready)
 		prompt := "from the fresh host"
-		b.assertWhole(b.generate(context.Background(), 1, prompt, 10), prompt, 10)
+		b.assertComplete(b.generate(context.Background(), 1, prompt, 10), prompt, 10)
 	})
 }
 
-// TestRejoin. A data centre is cut off from the platform and from the others
-// while a revision is made; it goes on with the old one and takes the new one
-// within seconds of the cut's end.
-func TestRejoin(t *testing.T) {
-	run(t, 6, func(b *bench) {
-		others := []string{"north", "road", platformPlace}
+// TestRevisionAfterPartition cuts a data centre off while a revision is submitted. It goes on
+// with the old one and takes the new one within seconds of the end of the cut.
+func TestRevisionAfterPartition(t *testing.T) {
+	runCluster(t, 6, func(b *cluster) {
+		others := []string{"north", "road", platformSite}
 		for _, o := range others {
 			b.net.Partition("port", o)
 		}
@@ -118,7 +114,7 @@
 		b.await(8*time.Second, func() bool { return b.hosts[0].Status(context.Background()).Revision == 2 })
 		is.New(t).Equal(b.hosts[1].Status(context.Background()).Revision, int64(1))
 		prompt := "while cut off"
-		b.assertWhole(b.generate(context.Background(), 1, prompt, 10), prompt, 10)
+		b.assertComplete(b.generate(context.Background(), 1, prompt, 10), prompt, 10)
 		for _, o := range others {
 			b.net.Heal("port", o)
 		}
@@ -126,7 +122,7 @@
 	})
 }
 
-func (b *bench) awaitRevision(d time.Duration, rev int64) {
+func (b *cluster) awaitRevision(d time.Duration, rev int64) {
 	b.t.Helper()
 	b.await(d, func() bool {
 		for _, e := range b.hosts {
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -1,6 +1,5 @@
-// Package runner wires the parts of one entry host and runs it from start to
-// graceful stop. Programs and tests use the same wiring; tests hand in their
-// own Listen and Dial.
+// Package runner assembles one entry host and runs it from start to graceful stop. Programs and
+// tests share this wiring; tests supply their own Listen and Dial.
 package runner
 
 import (
@@ -38,49 +37,51 @@
 )
 
 const (
-	// buckets is how many hash ranges idempotency records are cut into. It is
-	// the same on every host for ever, since a key's bucket follows from it.
-	buckets = 64
-	// retention is how long an idempotency record is kept at the least.
-	retention = time.Hour
-	// readers is how many hosts of a data centre read configuration from the
-	// platform.
-	readers = 3
-	// retryRatio and retryBurst are the retry budget.
+	// idempotencyBuckets is the number of hash ranges that idempotency records are divided into.
+	// It must be the same on every host and never change, since a key's bucket is derived from
+	// it.
+	idempotencyBuckets = 64
+	// idempotencyRetention is the minimum time that an idempotency record is kept.
+	idempotencyRetention = time.Hour
+	// ownersPerDataCentre is the number of hosts of a data centre that read the configuration
+	// from the platform, and of those that are candidates for the lease on orders.
+	ownersPerDataCentre = 3
+	// retryRatio is the number of retries that each success earns, and retryBurst the number that
+	// can be saved up.
 	retryRatio = 0.1
 	retryBurst = 20
 )
 
-// Host is one entry host. The fields are set before Run.
+// Host is one entry host. Its exported fields are set before Build or Run.
 type Host struct {
 	Settings *loader.Settings
 	Log      zerolog.Logger
 	Checker  *checker.Checker
-	// Listen and Dial reach the network; nil means the machine's own.
+	// Listen and Dial open network connections; nil means the standard network stack.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	// Policy chooses routes; nil means the default.
+	// Policy chooses routes; nil means DefaultPolicy.
 	Policy picker.Policy
-	// Seed makes choices repeatable; 0 draws one.
+	// Seed seeds random choices, so that tests are repeatable; 0 means a random seed.
 	Seed uint64
 
-	gossip  *gossiper.Gossiper
-	watch   *watcher.Watcher
-	track   *tracker.Tracker
-	susp    *tracker.Suspects
-	admit   *admitter.Admitter[picker.Route]
-	limits  *admitter.RateLimiter
-	route   *router.Router
-	stream  *streamer.Streamer
-	dedup   *deduplicator.Deduplicator
-	probe   *prober.Prober
-	plan    *planner.Planner
-	serve   *server.Server
-	meter   *meter.Meter
-	store   *storer.Client
-	peerTLS *tls.Config
-	// control counts bytes to and from other hosts.
-	control atomic.Int64
+	gossip          *gossiper.Gossiper
+	configWatcher   *watcher.Watcher
+	upstreamTracker *tracker.Tracker
+	suspects        *tracker.Suspects
+	admission       *admitter.Admitter[picker.Route]
+	limits          *admitter.RateLimiter
+	requestRouter   *router.Router
+	tokenStreamer   *streamer.Streamer
+	dedup           *deduplicator.Deduplicator
+	upstreamProber  *prober.Prober
+	orderPlanner    *planner.Planner
+	apiServer       *server.Server
+	meter           *meter.Meter
+	store           *storer.Client
+	peerTLS         *tls.Config
+	// controlBytes counts the bytes sent to and received from other hosts.
+	controlBytes atomic.Int64
 
 	killed              chan struct{}
 	buildOnce, killOnce sync.Once
@@ -88,43 +89,44 @@
 	mu                  sync.Mutex
 	clients             map[string]peer.Peer
 	servers             []*http.Server
-	conns               *http.Transport
-	peerConns           *http.Transport
+	sharedTransport     *http.Transport
+	peerTransport       *http.Transport
 }
 
-// Run answers until ctx ends, then stops gracefully. cut ends the stop early;
-// nil never does. The error tells of an address that can't be listened on, or
-// of requests that were cut off.
+// Run serves requests until ctx ends, then stops gracefully. Closing cut ends the graceful stop
+// early; a nil cut never does. Run returns an error when an address can't be listened on or when
+// the stop cut off requests.
 func (h *Host) Run(ctx context.Context, cut <-chan struct{}) error {
 	if err := h.Build(); err != nil {
 		return err
 	}
-	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
-	defer endWork()
-	orders, endOrders := context.WithCancel(ctx)
-	defer endOrders()
+	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelWork()
+	ordersCtx, cancelOrders := context.WithCancel(ctx)
+	defer cancelOrders()
 	listeners, err := h.listen()
 	if err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
-	h.start(work, orders, &wg)
-	h.answer(listeners, &wg)
+	h.startLoops(workCtx, ordersCtx, &wg)
+	h.serveAll(listeners, &wg)
 	h.Log.Info().Str("host", h.Settings.Host).Str("dataCentre", h.Settings.DataCentre).Msg("runner: started")
 	select {
 	case <-ctx.Done():
 		err = h.stop(cut)
 	case <-h.killed:
 	}
-	endOrders()
-	endWork()
+	cancelOrders()
+	cancelWork()
 	h.dedup.Stop()
 	h.close()
 	wg.Wait()
 	return err
 }
 
-// Kill makes Run end at once and tell nobody, as a crash would.
+// Kill makes Run return at once without a graceful stop and without notifying other hosts, as a
+// crash does.
 func (h *Host) Kill() {
 	h.killOnce.Do(func() { close(h.killed) })
 }
@@ -135,62 +137,60 @@
 	for _, s := range h.servers {
 		s.Close()
 	}
-	for _, t := range []*http.Transport{h.conns, h.peerConns} {
+	for _, t := range []*http.Transport{h.sharedTransport, h.peerTransport} {
 		if t != nil {
 			t.CloseIdleConnections()
 		}
 	}
 }
 
-// stop is the graceful shutdown. First the host tells everybody, while it still
-// takes what the balancer sends; then it refuses, and sees every open request
-// to its end.
+// stop shuts the host down gracefully. It first announces the stop and still accepts requests
+// while the balancer may send them; then it refuses new requests and waits for the open ones.
 func (h *Host) stop(cut <-chan struct{}) error {
-	h.Log.Info().Int64("inFlight", h.serve.InFlight()).Msg("runner: stopping")
+	h.Log.Info().Int64("inFlight", h.apiServer.InFlight()).Msg("runner: stopping")
 	h.gossip.Leave()
-	limit, cancel := context.WithTimeout(context.Background(), ms(h.Settings.Timing.StopMs))
+	stopCtx, cancel := context.WithTimeout(context.Background(), ms(h.Settings.Timing.StopMs))
 	defer cancel()
 	if cut != nil {
 		go func() {
 			select {
 			case <-cut:
 				cancel()
-			case <-limit.Done():
+			case <-stopCtx.Done():
 			}
 		}()
 	}
 	select {
 	case <-time.After(ms(h.Settings.Timing.BalancerMs)):
-	case <-limit.Done():
+	case <-stopCtx.Done():
 	}
-	h.serve.Stop()
-	left := h.serve.Wait(limit)
+	h.apiServer.Stop()
+	left := h.apiServer.Wait(stopCtx)
 	if left > 0 {
 		h.Log.Error().Int64("cut", left).Msg("runner: stop cut off requests")
 		return fmt.Errorf("stop cut off %d requests", left)
 	}
-	h.drainConnections(limit)
-	h.Checker.Assert(h.serve.InFlight() == 0, checker.InvariantGraceful, "", "stopped with %d in flight", h.serve.InFlight())
-	h.settle(limit)
+	h.drainConnections(stopCtx)
+	h.Checker.Assert(h.apiServer.InFlight() == 0, checker.InvariantGraceful, "", "stopped with %d in flight", h.apiServer.InFlight())
+	h.waitForOutcomes(stopCtx)
 	h.Log.Info().Msg("runner: stopped")
 	return nil
 }
 
-// drainConnections waits until what was answered is also written. A handler had
-// ended, so nothing was in flight, and the listener was closed with all its
-// connections; but the last chunk of a stream is written after its handler
-// ends, and a caller's answer lacked it now and then.
+// drainConnections waits until all answers are written to their connections. The last chunk of a
+// stream is written after its handler has returned, so closing the server once no request is in
+// flight could truncate that answer.
 func (h *Host) drainConnections(ctx context.Context) {
 	h.mu.Lock()
-	callers := h.servers[0]
+	callerServer := h.servers[0]
 	h.mu.Unlock()
-	if err := callers.Shutdown(ctx); err != nil {
-		h.Log.Warn().Err(err).Msg("runner: connections left open at the stop")
+	if err := callerServer.Shutdown(ctx); err != nil {
+		h.Log.Warn().Err(err).Msg("runner: caller connections still open after the stop")
 	}
 }
 
-// settle waits for outcomes to be recorded.
-func (h *Host) settle(ctx context.Context) {
+// waitForOutcomes waits until the outcomes of all calls are recorded or ctx ends.
+func (h *Host) waitForOutcomes(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		h.dedup.Wait()
@@ -201,19 +201,19 @@
 	case <-ctx.Done():
 	}
 	if n := h.dedup.Pending(); n > 0 {
-		h.Log.Warn().Int("calls", n).Msg("runner: stopped with outcomes not recorded; repeats of those calls will be told that the outcome is unknown")
+		h.Log.Warn().Int("calls", n).Msg("runner: stopped with unrecorded outcomes; repeats of those calls are refused with an unknown outcome")
 	}
 }
 
-func (h *Host) start(work, orders context.Context, wg *sync.WaitGroup) {
-	wg.Go(func() { h.gossip.Run(work) })
-	wg.Go(func() { h.watch.Run(work) })
-	wg.Go(func() { h.probe.Run(work) })
-	wg.Go(func() { h.plan.Run(orders) })
-	wg.Go(func() { h.housekeep(work) })
+func (h *Host) startLoops(workCtx, ordersCtx context.Context, wg *sync.WaitGroup) {
+	wg.Go(func() { h.gossip.Run(workCtx) })
+	wg.Go(func() { h.configWatcher.Run(workCtx) })
+	wg.Go(func() { h.upstreamProber.Run(workCtx) })
+	wg.Go(func() { h.orderPlanner.Run(ordersCtx) })
+	wg.Go(func() { h.housekeep(workCtx) })
 }
 
-// housekeep does what is due once a second.
+// housekeep runs the periodic work of the host, once a second.
 func (h *Host) housekeep(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -224,91 +224,92 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		list, own := h.limits.MeasureDemand(now)
-		h.gossip.SetDemand(list, own)
-		h.limits.SetShares(now, len(h.gossip.Live()), list, h.gossip.Demand(list))
-		h.susp.Sweep(now)
-		h.admit.WakeAll(now)
-		const boundEvery = 5
-		if n%boundEvery == 0 {
-			h.measureBound(now)
+		demands, ownDemand := h.limits.MeasureDemand(now)
+		h.gossip.SetDemand(demands, ownDemand)
+		h.limits.SetShares(now, len(h.gossip.Live()), demands, h.gossip.Demand(demands))
+		h.suspects.Sweep(now)
+		h.admission.WakeAll(now)
+		const boundEveryTicks = 5
+		if n%boundEveryTicks == 0 {
+			h.exportThroughputBounds(now)
 		}
 	}
 }
 
-func (h *Host) measureBound(now time.Time) {
-	cfg := h.watch.Current()
+func (h *Host) exportThroughputBounds(now time.Time) {
+	cfg := h.configWatcher.Current()
 	if cfg == nil {
 		return
 	}
 	for _, p := range cfg.Pipelines {
-		if b, err := h.track.ThroughputBound(now, p.Name, false); err == nil {
+		if b, err := h.upstreamTracker.ThroughputBound(now, p.Name, false); err == nil {
 			h.meter.ThroughputBound.WithLabelValues(p.Name).Set(b)
 		}
 	}
 }
 
-type listening struct {
+type boundServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (h *Host) listen() ([]listening, error) {
+func (h *Host) listen() ([]boundServer, error) {
 	cfg := h.Settings
 	callerTLS, err := h.callerTLS()
 	if err != nil {
 		return nil, err
 	}
-	var out []listening
-	for _, one := range []struct {
+	var out []boundServer
+	for _, endpoint := range []struct {
 		address string
 		tls     *tls.Config
 		handler http.Handler
 	}{
-		{cfg.Callers.Listen, callerTLS, h.serve.Handler()},
+		{cfg.Callers.Listen, callerTLS, h.apiServer.Handler()},
 		{cfg.Peer.Listen, h.peerTLS, h.peerHandler()},
 		{cfg.Admin.Listen, nil, h.adminHandler()},
 	} {
-		l, err := h.Listen(one.address)
+		l, err := h.Listen(endpoint.address)
 		if err != nil {
-			return nil, fmt.Errorf("listening on %s: %w", one.address, err)
+			return nil, fmt.Errorf("listening on %s: %w", endpoint.address, err)
 		}
-		if one.address == cfg.Peer.Listen {
-			l = countedListener{l, &h.control}
+		if endpoint.address == cfg.Peer.Listen {
+			l = countingListener{l, &h.controlBytes}
 		}
-		if one.tls != nil {
-			l = tls.NewListener(l, one.tls)
+		if endpoint.tls != nil {
+			l = tls.NewListener(l, endpoint.tls)
 		}
-		s := &http.Server{Handler: one.handler, ReadHeaderTimeout: ms(cfg.Limits.HeaderMs), MaxHeaderBytes: 64 << 10}
-		out = append(out, listening{s, l})
+		s := &http.Server{Handler: endpoint.handler, ReadHeaderTimeout: ms(cfg.Limits.HeaderMs), MaxHeaderBytes: 64 << 10}
+		out = append(out, boundServer{s, l})
 	}
 	return out, nil
 }
 
-func (h *Host) answer(all []listening, wg *sync.WaitGroup) {
+func (h *Host) serveAll(all []boundServer, wg *sync.WaitGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, one := range all {
-		h.servers = append(h.servers, one.server)
+	for _, bound := range all {
+		h.servers = append(h.servers, bound.server)
 		wg.Go(func() {
-			if err := one.server.Serve(one.listener); !errors.Is(err, http.ErrServerClosed) {
-				h.Log.Error().Err(err).Msg("runner: listener ended")
+			if err := bound.server.Serve(bound.listener); !errors.Is(err, http.ErrServerClosed) {
+				h.Log.Error().Err(err).Msg("runner: listener failed")
 			}
 		})
 	}
 }
 
-func (h *Host) apply(_ int64, cfg *builder.Configuration) {
-	h.track.Configure(cfg)
+func (h *Host) applyConfiguration(_ int64, cfg *builder.Configuration) {
+	h.upstreamTracker.Configure(cfg)
 	h.limits.Configure(time.Now(), len(h.gossip.Live()), cfg.Workspaces)
-	h.serve.Configure(cfg)
-	h.admit.WakeAll(time.Now())
-	h.relearn()
+	h.apiServer.Configure(cfg)
+	h.admission.WakeAll(time.Now())
+	h.reapplyGossip()
 }
 
-// Ready reports whether the host can answer callers.
+// Ready reports whether the host can serve callers: it has the newest configuration that it knows
+// of and isn't leaving.
 func (h *Host) Ready() bool {
-	return !h.watch.Behind() && !h.leaving()
+	return !h.configWatcher.Behind() && !h.leaving()
 }
 
 func (h *Host) leaving() bool {
@@ -316,13 +317,13 @@
 	return it != nil && gossiper.StateOf(it) == gossiper.HostLeaving
 }
 
-// InFlight is how many requests are being answered.
-func (h *Host) InFlight() int64 { return h.serve.InFlight() }
+// InFlight returns the number of requests being answered.
+func (h *Host) InFlight() int64 { return h.apiServer.InFlight() }
 
-// isRefused reports whether nobody listens where a connection went.
-func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused reports whether err means that nothing listens at the dialled address.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-func seeded(seed, stream uint64) *rand.Rand {
+func newRand(seed, stream uint64) *rand.Rand {
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
--- a/runner/speed_test.go
+++ b/runner/speed_test.go
@@ -25,10 +25,10 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// instant is an engine that answers at once: what is measured is the router.
-type instant struct{}
+// instantEngine answers at once, so that the benchmarks measure the router alone.
+type instantEngine struct{}
 
-func (instant) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (instantEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/load" {
 		_ = json.NewEncoder(w).Encode(tracker.Load{Incarnation: 1})
 		return
@@ -48,8 +48,9 @@
 	_ = out.Flush()
 }
 
-// speed is a host on loopback before an instant engine.
-func speed(b *testing.B) (caller, engine string) {
+// startLoopback starts a host with an instantEngine behind it on loopback, and returns the
+// addresses of both.
+func startLoopback(b *testing.B) (caller, engine string) {
 	b.Helper()
 	listen := func(string) (net.Listener, error) {
 		return new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -64,7 +65,7 @@
 		b.Cleanup(func() { s.Close() })
 		return l.Addr().String()
 	}
-	engine = serve(instant{})
+	engine = serve(instantEngine{})
 	platform := new(faker.Platform)
 	cfg := &builder.Configuration{
 		Models:       []builder.Model{{Name: "m", Version: "1", Layers: 8}},
@@ -128,10 +129,10 @@
 	}
 }
 
-// BenchmarkAdded measures what the router adds to a request of one token, as
-// the difference of medians and of 99th percentiles against the engine itself.
+// BenchmarkAdded measures the latency that the router adds to a request of one token: the
+// difference between routed and direct requests of the medians and of the 99th percentiles.
 func BenchmarkAdded(b *testing.B) {
-	caller, engine := speed(b)
+	caller, engine := startLoopback(b)
 	routed := `{"model":"p","prompt":"x","max_tokens":1,"stream":true}`
 	direct := `{"requestId":"r","attempt":1,"model":"m","version":"1","maxTokens":1,"prompt":"x","route":[{"upstream":"e","last":7}]}`
 	var with, without []time.Duration
@@ -144,16 +145,16 @@
 	}
 	slices.Sort(with)
 	slices.Sort(without)
-	at := func(d []time.Duration, q int) float64 { return float64(d[len(d)*q/100].Microseconds()) }
-	b.ReportMetric(at(with, 50)-at(without, 50), "p50added-µs")
-	b.ReportMetric(at(with, 99)-at(without, 99), "p99added-µs")
+	percentile := func(d []time.Duration, q int) float64 { return float64(d[len(d)*q/100].Microseconds()) }
+	b.ReportMetric(percentile(with, 50)-percentile(without, 50), "p50added-µs")
+	b.ReportMetric(percentile(with, 99)-percentile(without, 99), "p99added-µs")
 }
 
-// BenchmarkRelay measures tokens a second through one host, from engine to
-// caller; run it with -cpu 1 for one core, which caller and engine share.
+// BenchmarkRelay measures the tokens per second that one host relays from engine to caller. With
+// -cpu 1 the host, the caller and the engine share one core.
 func BenchmarkRelay(b *testing.B) {
 	const tokens = 10000
-	caller, _ := speed(b)
+	caller, _ := startLoopback(b)
 	body := fmt.Sprintf(`{"model":"p","prompt":"x","max_tokens":%d,"stream":true}`, tokens)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/runner/tls.go
+++ b/runner/tls.go
@@ -8,7 +8,8 @@
 	"os"
 )
 
-// serverTLS loads a certificate; empty names mean plain connections.
+// serverTLS loads a certificate and its key. An empty certificate name returns nil, which means
+// plain connections.
 func serverTLS(certificate, key string) (*tls.Config, error) {
 	if certificate == "" {
 		return nil, nil
@@ -20,8 +21,8 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// loadPeerTLS makes hosts prove themselves to each other: both sides show a
-// certificate that the same authority signed.
+// loadPeerTLS sets up mutual TLS between hosts: both sides must present a certificate signed by
+// the configured authority.
 func (h *Host) loadPeerTLS() error {
 	t := h.Settings.TLS
 	cfg, err := serverTLS(t.PeerCertificate, t.PeerKey)
--- a/runner/tls_test.go
+++ b/runner/tls_test.go
@@ -33,7 +33,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-// sign writes NAME.crt and NAME.key; the authority's own when it has none yet.
+// sign writes NAME.crt and NAME.key. The first call creates the authority's own certificate.
 func (a *authority) sign(t *testing.T, name string) (certificate, key string) {
 	t.Helper()
 	is := is.New(t)
@@ -59,17 +59,16 @@
 	return certificate, key
 }
 
-// TestTLS runs hosts that show certificates to each other and to callers, and
-// has a stranger try: one without a certificate, and one that another authority
-// signed.
+// TestTLS runs hosts with certificates, and checks that a peer call without a certificate or with
+// one signed by another authority fails.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ours, theirs := &authority{dir: t.TempDir()}, &authority{dir: t.TempDir()}
-		root, _ := ours.sign(t, "authority")
-		certificate, private := ours.sign(t, "host")
-		b := newBench(t, 60, configuration())
+		ownAuthority, foreignAuthority := &authority{dir: t.TempDir()}, &authority{dir: t.TempDir()}
+		root, _ := ownAuthority.sign(t, "authority")
+		certificate, private := ownAuthority.sign(t, "host")
+		b := newCluster(t, 60, configuration())
 		defer b.close()
 		b.tls = &loader.TLS{CallerCertificate: certificate, CallerKey: private, PeerCertificate: certificate, PeerKey: private, PeerAuthority: root}
 		for i := range 4 {
@@ -79,8 +78,8 @@
 		b.awaitRevision(8*time.Second, 1)
 		b.await(10*time.Second, func() bool { return len(b.hosts[0].Status(context.Background()).Hosts) == 4 })
 
-		_, _ = theirs.sign(t, "authority")
-		foreign, foreignKey := theirs.sign(t, "stranger")
+		_, _ = foreignAuthority.sign(t, "authority")
+		foreign, foreignKey := foreignAuthority.sign(t, "stranger")
 		pair, err := tls.LoadX509KeyPair(foreign, foreignKey)
 		is.NoErr(err)
 		for name, cfg := range map[string]*tls.Config{
@@ -90,7 +89,7 @@
 			transport := &http.Transport{DialContext: b.net.Dialer("stranger"), TLSClientConfig: cfg}
 			client := peer.NewPeerProtobufClient("https://10.0.0.1:81", &http.Client{Transport: transport})
 			if _, err := client.Status(context.Background(), &peer.StatusRequest{}); err == nil {
-				t.Errorf("a stranger with %s was answered", name)
+				t.Errorf("a peer call with %s succeeded", name)
 			}
 			transport.CloseIdleConnections()
 		}
@@ -102,9 +101,9 @@
 	})
 }
 
-// TestTLSFiles checks that a certificate that can't be read is told at start.
+// TestTLSFiles checks that a missing certificate file is reported at start.
 func TestTLSFiles(t *testing.T) {
-	b := &bench{t: t, tls: &loader.TLS{PeerCertificate: "nowhere.crt", PeerKey: "nowhere.key"}}
+	b := &cluster{t: t, tls: &loader.TLS{PeerCertificate: "nowhere.crt", PeerKey: "nowhere.key"}}
 	h := &runner.Host{Settings: b.settings(0)}
 	is.New(t).True(errors.Is(h.Build(), os.ErrNotExist))
 }
