--- a/server/caller.go
+++ b/server/caller.go
@@ -14,56 +14,58 @@
 	"github.com/sardineward/sardineward/streamer"
 )
 
-// ServiceRequest is a call of a plain service.
+// ServiceRequest is one call of a plain service.
 type ServiceRequest struct {
 	Method, Path, Query, ContentType string
-	// Key is the idempotency key; empty for calls that may be repeated.
+	// Key is the idempotency key. It is empty for calls that may be repeated and for single-shot
+	// calls.
 	Key       string
 	RequestID string
 	Workspace string
 	Body      []byte
 }
 
-// ServiceResponse is its whole answer.
+// ServiceResponse is the complete answer of an instance.
 type ServiceResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Caller is the seam to plain services.
+// Caller sends calls to the instances of plain services.
 type Caller interface {
-	// Call wraps streamer.ErrNotSent when the instance certainly did not start
-	// the call. once forbids that anything below sends it a second time.
+	// Call sends req to the instance at address. The error wraps streamer.ErrNotSent when the
+	// instance certainly did not start the call. With once set, no layer below may send the call
+	// a second time.
 	Call(ctx context.Context, address string, req *ServiceRequest, once bool) (*ServiceResponse, error)
 }
 
-// DeclinedError is an instance's word that it did not start a call.
+// DeclinedError reports that an instance declined a call without starting it.
 type DeclinedError struct {
 	Status int
 }
 
-// Error gives the status.
+// Error returns a message with the status.
 func (e *DeclinedError) Error() string {
-	return fmt.Sprintf("instance declined with status %d", e.Status)
+	return fmt.Sprintf("instance declined the call with status %d", e.Status)
 }
 
-// Unwrap makes it an ErrNotSent.
+// Unwrap returns streamer.ErrNotSent.
 func (e *DeclinedError) Unwrap() error { return streamer.ErrNotSent }
 
 const (
-	// notRunHeader is set by an instance that declines a call it didn't start.
+	// notRunHeader is set to "true" by an instance that declines a call it didn't start.
 	notRunHeader = "Not-Run"
-	// maxResponse bounds an instance's answer, in bytes.
+	// maxResponse bounds the body of an instance's answer, in bytes.
 	maxResponse = 16 << 20
 )
 
 // HTTPCaller calls plain services over HTTP.
 type HTTPCaller struct {
-	// Shared is for calls that may be repeated. Once makes a new connection for
-	// every call: net/http sends a request again by itself when a kept
-	// connection turns out closed and the request has an Idempotency-Key header
-	// and no body, so a booking could be sent twice with no retry of ours.
+	// Shared sends calls that may be repeated. Once opens a new connection for every call:
+	// net/http resends a request by itself when a kept connection turns out to be closed and the
+	// request has an Idempotency-Key header and no body, so a booking could be sent twice without
+	// a retry of this package.
 	Shared, Once *http.Client
 }
 
--- a/server/completions.go
+++ b/server/completions.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// defaultTokens is used when a request names no max_tokens.
-	defaultTokens = 256
-	// mostTokens bounds max_tokens.
-	mostTokens = 65536
-	// prefixBytes is how much of a prompt tells where it is likely cached.
+	// defaultMaxTokens is used when a request sets no max_tokens.
+	defaultMaxTokens = 256
+	// maxTokens bounds max_tokens.
+	maxTokens = 65536
+	// prefixBytes is the length of the prompt prefix by which routes prefer engines that likely
+	// have it cached.
 	prefixBytes = 256
 )
 
-// Completion is the body of a completions request. The names are those of the
-// usual API, not this project's.
+// Completion is the body of a completions request. The field names are those of the OpenAI API.
 type Completion struct {
 	// Model is the name of a pipeline.
 	Model     string `json:"model"`
@@ -48,7 +48,7 @@
 	Content string `json:"content"`
 }
 
-// DecodeCompletion decodes and checks a completions body.
+// DecodeCompletion decodes and validates the body of a completions request.
 func DecodeCompletion(body []byte) (*Completion, error) {
 	c := new(Completion)
 	if err := json.Unmarshal(body, c); err != nil {
@@ -59,21 +59,21 @@
 
 func (c *Completion) check() error {
 	if c.MaxTokens == 0 {
-		c.MaxTokens = defaultTokens
+		c.MaxTokens = defaultMaxTokens
 	}
 	switch {
 	case c.Model == "":
 		return errors.New("model is missing")
 	case c.Prompt == "":
 		return errors.New("prompt is missing")
-	case c.MaxTokens < 1 || c.MaxTokens > mostTokens:
-		return fmt.Errorf("max_tokens is not within 1 to %d", mostTokens)
+	case c.MaxTokens < 1 || c.MaxTokens > maxTokens:
+		return fmt.Errorf("max_tokens is not within 1 to %d", maxTokens)
 	}
 	return nil
 }
 
-// DecodeChat decodes and checks a chat body, and lays its turns end to end as
-// one prompt.
+// DecodeChat decodes and validates the body of a chat request and joins its messages into one
+// prompt.
 func DecodeChat(body []byte) (*Completion, error) {
 	c := new(Chat)
 	if err := json.Unmarshal(body, c); err != nil {
@@ -93,18 +93,18 @@
 	return out, out.check()
 }
 
-func (s *Server) completions(k *call) error { return k.generate(DecodeCompletion, textShape) }
+func (s *Server) completions(k *call) error { return k.generate(DecodeCompletion, textFormat) }
 
-func (s *Server) chat(k *call) error { return k.generate(DecodeChat, chatShape) }
+func (s *Server) chat(k *call) error { return k.generate(DecodeChat, chatFormat) }
 
-func (k *call) generate(decode func([]byte) (*Completion, error), sh shape) error {
+func (k *call) generate(decode func([]byte) (*Completion, error), format answerFormat) error {
 	c, err := decode(k.body)
 	if err != nil {
 		return refusal(admitter.ReasonMalformed, err.Error())
 	}
-	m, ok := k.catalogue.models[c.Model]
+	m, ok := k.index.models[c.Model]
 	if !ok {
-		return refusal(admitter.ReasonUnknown, "no pipeline "+c.Model)
+		return refusal(admitter.ReasonUnknown, "unknown pipeline "+c.Model)
 	}
 	if !slices.Contains(k.workspace.Pipelines, c.Model) {
 		return refusal(admitter.ReasonForbidden, "workspace may not use pipeline "+c.Model)
@@ -128,41 +128,41 @@
 	if refused := k.Router.Admit(job.Workspace, job.Fingerprint); refused != nil {
 		return refused
 	}
-	return k.stream(job, &writer{call: k, shape: sh, model: c.Model, stream: c.Stream})
+	return k.runJob(job, &writer{call: k, format: format, model: c.Model, stream: c.Stream})
 }
 
-// stream runs a job and sends its answer as it comes, or whole at the end.
-func (k *call) stream(job *streamer.Job, out *writer) error {
+// runJob runs a job and sends its answer, token by token or as one body at the end.
+func (k *call) runJob(job *streamer.Job, out *writer) error {
 	start := time.Now()
-	var begun time.Time
+	var firstTokenAt time.Time
 	res, err := k.Streamer.Run(k.r.Context(), job, func(text string, more bool) error {
-		if begun.IsZero() {
-			begun = time.Now()
-			k.Meter.FirstToken.Observe(begun.Sub(start).Seconds())
+		if firstTokenAt.IsZero() {
+			firstTokenAt = time.Now()
+			k.Meter.FirstToken.Observe(firstTokenAt.Sub(start).Seconds())
 		}
-		return out.token(text, more)
+		return out.writeToken(text, more)
 	})
 	k.started = res.Started
 	if err != nil {
 		return err
 	}
-	took := time.Since(begun)
-	k.Router.RecordAnswer(job, res.Tokens, took)
+	elapsed := time.Since(firstTokenAt)
+	k.Router.RecordAnswer(job, res.Tokens, elapsed)
 	k.Meter.Requests.WithLabelValues(job.Workspace, "generation").Inc()
 	if n := res.Tokens; n > 1 {
-		k.Meter.TokenGap.Observe(took.Seconds() / float64(n-1))
+		k.Meter.TokenGap.Observe(elapsed.Seconds() / float64(n-1))
 	}
-	return out.end(res)
+	return out.finish(res)
 }
 
-// writeJSON sends a whole answer.
+// writeJSON sends an answer as one JSON body.
 func (k *call) writeJSON(v any) error {
-	k.limitWrite()
+	k.setWriteDeadline()
 	k.w.Header().Set("Content-Type", "application/json")
 	k.w.WriteHeader(http.StatusOK)
-	k.begun = true
+	k.headWritten = true
 	if err := json.NewEncoder(k.w).Encode(v); err != nil {
-		k.Log.Info().Str("requestId", k.id).Err(err).Msg("server: caller went away at the end")
+		k.Log.Info().Str("requestId", k.id).Err(err).Msg("server: writing the end of an answer failed")
 	}
 	return nil
 }
--- a/server/decode_test.go
+++ b/server/decode_test.go
@@ -6,7 +6,7 @@
 	"github.com/sardineward/sardineward/server"
 )
 
-// FuzzDecode feeds callers' bodies; what is taken must be in bounds.
+// FuzzDecode checks that every request body that is accepted is within bounds.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"p","max_tokens":3}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"p"}]}`))
@@ -17,7 +17,7 @@
 		for _, decode := range []func([]byte) (*server.Completion, error){server.DecodeCompletion, server.DecodeChat} {
 			c, err := decode(body)
 			if err == nil && (c.Prompt == "" || c.Model == "" || c.MaxTokens < 1) {
-				t.Errorf("took %q as %+v", body, c)
+				t.Errorf("accepted %q as %+v", body, c)
 			}
 		}
 	})
--- a/server/server.go
+++ b/server/server.go
@@ -1,8 +1,8 @@
-// Package server answers callers and operators over HTTP.
+// Package server answers callers over HTTP.
 //
-// It authenticates, reads and checks requests, and hands them to streamer
-// (generations) or to the instances of a plain service, through deduplicator
-// when a call may not be repeated. Every refusal leaves through one function.
+// It authenticates, reads and validates requests, and hands them to streamer (generations) or to
+// the instances of a plain service, through deduplicator when a call may not be repeated. All
+// refusals are sent by one function.
 package server
 
 import (
@@ -30,7 +30,7 @@
 	"github.com/sardineward/sardineward/streamer"
 )
 
-// Server answers callers. The fields are set before Handler.
+// Server answers callers. The exported fields are set before Handler.
 type Server struct {
 	Host         string
 	Limits       *loader.Limits
@@ -42,23 +42,24 @@
 	Checker      *checker.Checker
 	Log          zerolog.Logger
 
-	catalogue atomic.Pointer[catalogue]
-	stopping  atomic.Bool
-	requests  atomic.Int64
-	open      sync.WaitGroup
-	inFlight  atomic.Int64
+	index        atomic.Pointer[configIndex]
+	stopping     atomic.Bool
+	requestSeq   atomic.Int64
+	openRequests sync.WaitGroup
+	inFlight     atomic.Int64
 }
 
-// catalogue is a configuration, indexed for requests.
-type catalogue struct {
+// configIndex is a configuration indexed for request handling: workspaces by key hash, services
+// by name and models by pipeline.
+type configIndex struct {
 	keys     map[string]*builder.Workspace
 	services map[string]*builder.Service
 	models   map[string]builder.Model
 }
 
-// Configure puts a configuration in force.
+// Configure puts a configuration in force for new requests.
 func (s *Server) Configure(cfg *builder.Configuration) {
-	c := &catalogue{
+	c := &configIndex{
 		keys:     make(map[string]*builder.Workspace),
 		services: make(map[string]*builder.Service),
 		models:   make(map[string]builder.Model),
@@ -78,18 +79,18 @@
 	for _, p := range cfg.Pipelines {
 		c.models[p.Name] = models[p.Model]
 	}
-	s.catalogue.Store(c)
+	s.index.Store(c)
 }
 
-// Stop makes the server refuse new requests.
+// Stop makes the server refuse new requests. Requests that already run go on.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
-// Wait blocks until every request is answered, or ctx ends; it returns how many
-// are left.
+// Wait blocks until every request is answered or ctx ends. It returns the number of requests that
+// are still open.
 func (s *Server) Wait(ctx context.Context) int64 {
 	done := make(chan struct{})
 	go func() {
-		s.open.Wait()
+		s.openRequests.Wait()
 		close(done)
 	}()
 	select {
@@ -99,21 +100,21 @@
 	return s.inFlight.Load()
 }
 
-// InFlight is how many requests are being answered.
+// InFlight returns the number of requests being answered.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Handler returns the callers' side.
+// Handler returns the HTTP handler for callers.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.HTTPErrorHandler = s.unrouted
+	e.HTTPErrorHandler = s.handleUnrouted
 	e.POST("/v1/completions", s.handle(s.completions))
 	e.POST("/v1/chat/completions", s.handle(s.chat))
 	e.Any("/services/:service/*", s.handle(s.service))
 	return e
 }
 
-// call is one request under way.
+// call is the state of one request.
 type call struct {
 	*Server
 	w         http.ResponseWriter
@@ -121,24 +122,26 @@
 	ctl       *http.ResponseController
 	id        string
 	workspace *builder.Workspace
-	catalogue *catalogue
+	index     *configIndex
 	deadline  time.Time
 	body      []byte
 	witness   *checker.ExecutionTracker
 	// started is set once an upstream may have started the request.
 	started bool
-	// path is what follows the service's name.
+	// serviceName and path are those of a plain service; path is the part after the service's
+	// name.
 	serviceName, path string
-	// begun is set once the status line is written.
-	begun bool
+	// headWritten is set once the status line is written.
+	headWritten bool
 }
 
-// handle does what all requests have in common, then calls f.
+// handle wraps f with the steps that all requests share: counting, authentication, reading and
+// refusals.
 func (s *Server) handle(f func(*call) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		s.open.Add(1)
+		s.openRequests.Add(1)
 		s.inFlight.Add(1)
-		defer s.open.Done()
+		defer s.openRequests.Done()
 		defer s.inFlight.Add(-1)
 		ctx, witness := checker.WithExecutionTracker(c.Request().Context())
 		k := &call{
@@ -159,9 +162,10 @@
 	}
 }
 
-// requestID is unique among hosts: host and incarnation are in it.
+// requestID returns an ID that is unique among hosts, since it holds the host's name and
+// incarnation.
 func (s *Server) requestID() string {
-	n := s.requests.Add(1)
+	n := s.requestSeq.Add(1)
 	return s.Host + "-" + strconv.FormatInt(s.Deduplicator.Incarnation, 36) + "-" + strconv.FormatInt(n, 36)
 }
 
@@ -169,7 +173,7 @@
 	if k.stopping.Load() {
 		return &admitter.Refusal{Reason: admitter.ReasonStopping, NotRun: true, RetryAfter: time.Second}
 	}
-	if k.catalogue = k.Server.catalogue.Load(); k.catalogue == nil {
+	if k.index = k.Server.index.Load(); k.index == nil {
 		return &admitter.Refusal{Reason: admitter.ReasonNotReady, NotRun: true, RetryAfter: time.Second}
 	}
 	if err := k.authenticate(); err != nil {
@@ -187,16 +191,16 @@
 func (k *call) authenticate() error {
 	key, ok := strings.CutPrefix(k.r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return refusal(admitter.ReasonUnauthorised, "want Authorization: Bearer KEY")
+		return refusal(admitter.ReasonUnauthorised, "header Authorization is missing or malformed; want Bearer KEY")
 	}
-	if k.workspace = k.catalogue.keys[builder.HashKey(key)]; k.workspace == nil {
+	if k.workspace = k.index.keys[builder.HashKey(key)]; k.workspace == nil {
 		return refusal(admitter.ReasonUnauthorised, "unknown key")
 	}
 	return nil
 }
 
-// readDeadline takes the Deadline-Ms header: how long the caller waits for the
-// whole answer.
+// readDeadline sets the deadline from the Deadline-Ms header: how long the caller waits for the
+// whole answer, in milliseconds.
 func (k *call) readDeadline() error {
 	ms := k.Limits.DeadlineMs
 	if h := k.r.Header.Get("Deadline-Ms"); h != "" {
@@ -215,10 +219,10 @@
 	body, err := io.ReadAll(http.MaxBytesReader(k.w, k.r.Body, int64(k.Limits.BodyBytes)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return refusal(admitter.ReasonTooLarge, "body is over "+strconv.Itoa(k.Limits.BodyBytes)+" bytes")
+		return refusal(admitter.ReasonTooLarge, "body is larger than "+strconv.Itoa(k.Limits.BodyBytes)+" bytes")
 	}
 	if err != nil {
-		return refusal(admitter.ReasonMalformed, "body can't be read: "+err.Error())
+		return refusal(admitter.ReasonMalformed, "reading body: "+err.Error())
 	}
 	k.ctl.SetReadDeadline(time.Time{})
 	k.body = body
@@ -229,26 +233,27 @@
 	return &admitter.Refusal{Reason: reason, NotRun: true, Detail: detail}
 }
 
-// ErrorBody is what a caller gets in place of an answer.
+// ErrorBody is the JSON body of a refusal.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what became of a request.
+// ErrorDetail describes why a request was not answered.
 type ErrorDetail struct {
-	// Code is the HTTP status, also where the status line was sent before.
+	// Code is the HTTP status that fits the refusal, also when another status line was already
+	// sent.
 	Code int `json:"code"`
-	// Reason is the counter's label.
+	// Reason is the value of the reason label of the refusals counter.
 	Reason  string `json:"reason"`
 	Message string `json:"message"`
-	// NotRun holds only when no upstream started the request.
+	// NotRun is true only when no upstream started the request.
 	NotRun    bool   `json:"notRun"`
 	RequestID string `json:"requestId"`
-	// RetryAfter is in seconds; 0 means that a new try won't help.
+	// RetryAfter is in seconds; 0 means that a retry won't help.
 	RetryAfter int64 `json:"retryAfter,omitempty"`
 }
 
-// refuse sends the final answer of a request that was not answered.
+// refuse sends the refusal of a request, as an event when the stream has begun.
 func (k *call) refuse(err error) {
 	out := k.Router.Refuse(k.id, err, k.started, k.witness)
 	body := ErrorBody{ErrorDetail{
@@ -261,20 +266,20 @@
 	}}
 	k.Log.Info().Str("requestId", k.id).Str("reason", body.Error.Reason).Bool("notRun", out.NotRun).
 		Str("detail", out.Detail).Msg("server: request refused")
-	if k.begun {
-		k.endStream(body)
+	if k.headWritten {
+		k.writeStreamError(body)
 		return
 	}
 	k.w.Header().Set("Content-Type", "application/json")
 	if body.Error.RetryAfter > 0 {
 		k.w.Header().Set("Retry-After", strconv.FormatInt(body.Error.RetryAfter, 10))
 	}
-	k.limitWrite()
+	k.setWriteDeadline()
 	k.w.WriteHeader(body.Error.Code)
 	json.NewEncoder(k.w).Encode(body)
 }
 
-func (k *call) limitWrite() {
+func (k *call) setWriteDeadline() {
 	k.ctl.SetWriteDeadline(time.Now().Add(time.Duration(k.Limits.WriteMs) * time.Millisecond))
 }
 
@@ -282,7 +287,7 @@
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// statusCanceled is what logs show for a caller that went away; nobody reads it.
+// statusCanceled is the status in logs for a caller that disconnected. Nobody receives it.
 const statusCanceled = 499
 
 func statusOf(r admitter.Reason) int {
@@ -314,8 +319,8 @@
 	}
 }
 
-// unrouted answers what matches no route.
-func (s *Server) unrouted(err error, c echo.Context) {
+// handleUnrouted refuses requests that match no route.
+func (s *Server) handleUnrouted(err error, c echo.Context) {
 	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), witness: new(checker.ExecutionTracker)}
 	k.refuse(refusal(admitter.ReasonUnknown, err.Error()))
 }
--- a/server/services.go
+++ b/server/services.go
@@ -23,51 +23,51 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// serviceAttempts bounds the instances that one idempotent call is sent to.
+// serviceAttempts bounds the instances that one call is sent to.
 const serviceAttempts = 3
 
-// keyHeader carries a caller's idempotency key.
+// keyHeader is the request header with the idempotency key.
 const keyHeader = "Idempotency-Key"
 
-// service answers a call of a plain service.
+// service handles a call of a plain service.
 func (s *Server) service(k *call) error {
-	svc := k.catalogue.services[k.serviceName]
+	svc := k.index.services[k.serviceName]
 	if svc == nil {
-		return refusal(admitter.ReasonUnknown, "no service "+k.serviceName)
+		return refusal(admitter.ReasonUnknown, "unknown service "+k.serviceName)
 	}
 	if !slices.Contains(k.workspace.Services, svc.Name) {
 		return refusal(admitter.ReasonForbidden, "workspace may not call service "+svc.Name)
 	}
-	decl, ok := declared(svc, k.r.Method, k.path)
+	decl, ok := findCall(svc, k.r.Method, k.path)
 	if !ok {
 		return refusal(admitter.ReasonUnknown, "service "+svc.Name+" declares no "+k.r.Method+" "+k.path)
 	}
-	p := &passage{call: k, svc: svc, decl: decl}
+	p := &serviceCall{call: k, svc: svc, decl: decl}
 	p.fingerprint = xxhash.Sum64String(strings.Join([]string{k.workspace.Name, svc.Name, k.r.Method, k.path, k.r.Header.Get(keyHeader), string(k.body)}, "\x00"))
 	if decl.Idempotent {
-		return p.idempotent()
+		return p.runIdempotent()
 	}
-	return p.once()
+	return p.runOnce()
 }
 
-// declared finds the declaration of a call. GET and HEAD are idempotent unless
-// declared otherwise; of any other call nothing is assumed.
-func declared(svc *builder.Service, method, path string) (builder.Call, bool) {
+// findCall returns the declaration of a call. GET and HEAD are idempotent unless declared
+// otherwise; any other undeclared call is unknown.
+func findCall(svc *builder.Service, method, path string) (builder.Call, bool) {
 	for _, c := range svc.Calls {
 		if string(c.Method) != method {
 			continue
 		}
-		prefix, open := strings.CutSuffix(c.Path, "*")
-		if c.Path == path || open && strings.HasPrefix(path, prefix) {
+		prefix, isPrefix := strings.CutSuffix(c.Path, "*")
+		if c.Path == path || isPrefix && strings.HasPrefix(path, prefix) {
 			return c, true
 		}
 	}
-	safe := method == http.MethodGet || method == http.MethodHead
-	return builder.Call{Method: builder.CallMethod(method), Path: path, Idempotent: true}, safe
+	idempotentMethod := method == http.MethodGet || method == http.MethodHead
+	return builder.Call{Method: builder.CallMethod(method), Path: path, Idempotent: true}, idempotentMethod
 }
 
-// passage is one call of a plain service under way.
-type passage struct {
+// serviceCall is the state of one call of a plain service.
+type serviceCall struct {
 	*call
 	svc         *builder.Service
 	decl        builder.Call
@@ -76,16 +76,16 @@
 	attempts    int
 }
 
-// group names what the call waits for.
-func (p *passage) group() string { return "service/" + p.svc.Name }
+// group returns the admission queue of the call's service.
+func (p *serviceCall) group() string { return "service/" + p.svc.Name }
 
-// enter waits for an instance. The name of this passage differs by attempt, so
-// that one attempt's end isn't taken for another's.
-func (p *passage) enter(ctx context.Context) (instance, flight string, err error) {
+// acquire waits for an instance. The attempt ID differs for each attempt, so that the end of one
+// attempt doesn't release another.
+func (p *serviceCall) acquire(ctx context.Context) (instance, attemptID string, err error) {
 	p.attempts++
-	flight = p.id + "/" + strconv.Itoa(p.attempts)
+	attemptID = p.id + "/" + strconv.Itoa(p.attempts)
 	tk := admitter.Ticket{Workspace: p.workspace.Name, Group: p.group(), Priority: p.workspace.Priority, Cost: 1, Deadline: p.deadline}
-	req := tracker.Request{ID: flight, Fingerprint: p.fingerprint, Avoid: p.avoid}
+	req := tracker.Request{ID: attemptID, Fingerprint: p.fingerprint, Avoid: p.avoid}
 	route, refused := p.Router.Admitter.Acquire(ctx, time.Now(), tk, func() (picker.Route, bool) {
 		name := p.Router.Tracker.AcquireInstance(time.Now(), p.svc.Upstreams, req)
 		return picker.Route{{Upstream: name}}, name != ""
@@ -93,18 +93,18 @@
 	if refused != nil {
 		return "", "", refused
 	}
-	return route[0].Upstream, flight, nil
+	return route[0].Upstream, attemptID, nil
 }
 
-func (p *passage) leave(instance, flight string, cause streamer.Cause) {
+func (p *serviceCall) release(instance, attemptID string, cause streamer.Cause) {
 	if cause != streamer.CauseNone {
 		p.Router.RecordInstanceFailure(instance, cause)
 	}
-	p.Router.Tracker.Release(time.Now(), []string{instance}, flight)
+	p.Router.Tracker.Release(time.Now(), []string{instance}, attemptID)
 	p.Router.Admitter.Wake(time.Now(), p.group())
 }
 
-func (p *passage) request(key string) *ServiceRequest {
+func (p *serviceCall) serviceRequest(key string) *ServiceRequest {
 	return &ServiceRequest{
 		Method:      p.r.Method,
 		Path:        p.path,
@@ -117,33 +117,34 @@
 	}
 }
 
-// idempotent sends the call, again to another instance when one fails.
-func (p *passage) idempotent() error {
+// runIdempotent sends the call, and retries it on another instance when one fails.
+func (p *serviceCall) runIdempotent() error {
 	if refused := p.Router.Admit(p.workspace.Name, p.fingerprint); refused != nil {
 		return refused
 	}
 	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline)
 	defer cancel()
 	for {
-		instance, flight, err := p.enter(ctx)
+		instance, attemptID, err := p.acquire(ctx)
 		if err != nil {
 			return err
 		}
 		resp, err := p.send(ctx, instance, "")
 		cause := causeOf(ctx, err)
-		p.leave(instance, flight, cause)
+		p.release(instance, attemptID, cause)
 		if err == nil {
 			p.Router.Budget.Earn()
 			return p.answer(resp)
 		}
-		if err := p.again(ctx, instance, cause, err); err != nil {
+		if err := p.checkRetry(ctx, instance, cause, err); err != nil {
 			return err
 		}
 	}
 }
 
-// again reports why an idempotent call is not sent once more.
-func (p *passage) again(ctx context.Context, instance string, cause streamer.Cause, err error) error {
+// checkRetry returns the refusal when an idempotent call must not be retried; nil means that it
+// may be.
+func (p *serviceCall) checkRetry(ctx context.Context, instance string, cause streamer.Cause, err error) error {
 	switch {
 	case p.r.Context().Err() != nil:
 		return &admitter.Refusal{Reason: admitter.ReasonCanceled}
@@ -159,58 +160,59 @@
 	return nil
 }
 
-// once runs a call that may not be repeated.
-func (p *passage) once() error {
-	key, err := p.key()
+// runOnce runs a call that may not be repeated.
+func (p *serviceCall) runOnce() error {
+	key, err := p.idempotencyKey()
 	if err != nil {
 		return err
 	}
 	if refused := p.Router.Admit(p.workspace.Name, p.fingerprint); refused != nil {
 		return refused
 	}
-	// The context outlives the caller: a call that was sent is seen to its end,
-	// so that its outcome can be recorded for the repeat.
+	// The context outlives the caller: a call that was sent is awaited, so that its outcome can
+	// be recorded for a repeat.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(p.r.Context()), p.deadline)
 	defer cancel()
 	if key == "" {
 		out, sent, known := p.dispatch(ctx, "")
-		return p.conclude(out, sent, known)
+		return p.answerUnkeyed(out, sent, known)
 	}
 	c := deduplicator.Call{RequestID: p.id, Key: p.keyHash(key), Digest: p.digest()}
 	out, _, err := p.Deduplicator.Do(ctx, c, func(ctx context.Context) (deduplicator.Outcome, bool, bool) {
 		return p.dispatch(ctx, key)
 	})
 	if err != nil {
-		return onceRefusal(err)
+		return outcomeRefusal(err)
 	}
 	return p.answer(&ServiceResponse{Status: out.Status, ContentType: out.ContentType, Body: out.Body})
 }
 
-// key finds the idempotency key. It is empty only for a single-shot call.
-func (p *passage) key() (string, error) {
+// idempotencyKey returns the key from the header or the body. It is empty only for a single-shot
+// call.
+func (p *serviceCall) idempotencyKey() (string, error) {
 	if key := p.r.Header.Get(keyHeader); key != "" {
 		return key, nil
 	}
 	if p.decl.KeyPointer != "" {
-		if key, ok := lookUp(p.body, p.decl.KeyPointer); ok {
+		if key, ok := lookUpPointer(p.body, p.decl.KeyPointer); ok {
 			return key, nil
 		}
 	}
 	if p.decl.SingleShot {
 		return "", nil
 	}
-	where := "want header " + keyHeader
+	detail := "idempotency key is missing; want header " + keyHeader
 	if p.decl.KeyPointer != "" {
-		where += " or " + p.decl.KeyPointer + " in the body"
+		detail += " or " + p.decl.KeyPointer + " in the body"
 	}
-	return "", refusal(admitter.ReasonNoKey, where)
+	return "", refusal(admitter.ReasonNoKey, detail)
 }
 
-func (p *passage) keyHash(key string) string {
+func (p *serviceCall) keyHash(key string) string {
 	return hashAll(p.workspace.Name, p.svc.Name, p.r.Method, p.decl.Path, key)
 }
 
-func (p *passage) digest() string {
+func (p *serviceCall) digest() string {
 	return hashAll(p.r.Method, p.path, p.r.URL.RawQuery, string(p.body))
 }
 
@@ -222,17 +224,18 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// dispatch sends a call that may not be repeated. It goes on to another
-// instance only while no byte was sent.
-func (p *passage) dispatch(ctx context.Context, key string) (out deduplicator.Outcome, sent, known bool) {
+// dispatch sends a call that may not be repeated. It tries another instance only while no byte
+// was sent. sent reports whether an instance may have started the call, known whether out is its
+// outcome.
+func (p *serviceCall) dispatch(ctx context.Context, key string) (out deduplicator.Outcome, sent, known bool) {
 	for p.attempts < serviceAttempts {
-		instance, flight, err := p.enter(ctx)
+		instance, attemptID, err := p.acquire(ctx)
 		if err != nil {
 			return out, false, false
 		}
 		resp, err := p.send(ctx, instance, key)
 		cause := causeOf(ctx, err)
-		p.leave(instance, flight, cause)
+		p.release(instance, attemptID, cause)
 		if err == nil {
 			return deduplicator.Outcome{Status: resp.Status, ContentType: resp.ContentType, Body: resp.Body}, true, true
 		}
@@ -245,40 +248,40 @@
 	return out, false, false
 }
 
-func (p *passage) send(ctx context.Context, instance, key string) (*ServiceResponse, error) {
+func (p *serviceCall) send(ctx context.Context, instance, key string) (*ServiceResponse, error) {
 	u, ok := p.Router.Tracker.Upstream(instance)
 	if !ok {
 		return nil, streamer.ErrNotSent
 	}
-	resp, err := p.Services.Call(ctx, u.Address, p.request(key), !p.decl.Idempotent)
+	resp, err := p.Services.Call(ctx, u.Address, p.serviceRequest(key), !p.decl.Idempotent)
 	p.started = p.started || !errors.Is(err, streamer.ErrNotSent)
 	return resp, err
 }
 
-func (p *passage) conclude(out deduplicator.Outcome, sent, known bool) error {
+func (p *serviceCall) answerUnkeyed(out deduplicator.Outcome, sent, known bool) error {
 	switch {
 	case !sent:
 		return &admitter.Refusal{Reason: admitter.ReasonNoRoute, NotRun: true, RetryAfter: time.Second}
 	case !known:
-		return onceRefusal(deduplicator.ErrOutcomeUnknown)
+		return outcomeRefusal(deduplicator.ErrOutcomeUnknown)
 	}
 	return p.answer(&ServiceResponse{Status: out.Status, ContentType: out.ContentType, Body: out.Body})
 }
 
-func onceRefusal(err error) *admitter.Refusal {
+func outcomeRefusal(err error) *admitter.Refusal {
 	switch {
 	case errors.Is(err, deduplicator.ErrRunning):
-		return &admitter.Refusal{Reason: admitter.ReasonRunning, RetryAfter: time.Second, Detail: "an earlier call with this key is running"}
+		return &admitter.Refusal{Reason: admitter.ReasonRunning, RetryAfter: time.Second, Detail: "an earlier call with this key is still running"}
 	case errors.Is(err, deduplicator.ErrOutcomeUnknown):
-		return &admitter.Refusal{Reason: admitter.ReasonOutcomeUnknown, Detail: "the call was sent and its outcome is not known; it is never sent again"}
+		return &admitter.Refusal{Reason: admitter.ReasonOutcomeUnknown, Detail: "the call was sent and its outcome is unknown; it is never sent again"}
 	case errors.Is(err, deduplicator.ErrKeyReused):
-		return &admitter.Refusal{Reason: admitter.ReasonKeyReused, NotRun: true, Detail: "the key came before with another request"}
+		return &admitter.Refusal{Reason: admitter.ReasonKeyReused, NotRun: true, Detail: "the key was used before with a different request"}
 	case errors.Is(err, deduplicator.ErrNotDispatched):
-		return &admitter.Refusal{Reason: admitter.ReasonNoRoute, NotRun: true, RetryAfter: time.Second, Detail: "no instance could take it"}
+		return &admitter.Refusal{Reason: admitter.ReasonNoRoute, NotRun: true, RetryAfter: time.Second, Detail: "no instance accepted the call"}
 	default:
 		return &admitter.Refusal{
 			Reason: admitter.ReasonPlatform, NotRun: true, RetryAfter: time.Second,
-			Detail: "this request was not run; whether an earlier one with its key was can't be told now",
+			Detail: "this request was not run; whether an earlier one with its key was run is not known now",
 		}
 	}
 }
@@ -299,44 +302,44 @@
 	}
 }
 
-func (p *passage) answer(resp *ServiceResponse) error {
+func (p *serviceCall) answer(resp *ServiceResponse) error {
 	p.Meter.Requests.WithLabelValues(p.workspace.Name, "service").Inc()
-	p.limitWrite()
+	p.setWriteDeadline()
 	if resp.ContentType != "" {
 		p.w.Header().Set("Content-Type", resp.ContentType)
 	}
 	p.w.WriteHeader(resp.Status)
-	p.begun = true
+	p.headWritten = true
 	if _, err := p.w.Write(resp.Body); err != nil {
-		p.Log.Info().Str("requestId", p.id).Err(err).Msg("server: caller went away at the end")
+		p.Log.Info().Str("requestId", p.id).Err(err).Msg("server: writing the end of an answer failed")
 	}
 	return nil
 }
 
-// lookUp finds a string or number at a JSON pointer.
-func lookUp(body []byte, pointer string) (string, bool) {
-	var at any
+// lookUpPointer returns the string or number at a JSON pointer.
+func lookUpPointer(body []byte, pointer string) (string, bool) {
+	var value any
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.UseNumber()
-	if dec.Decode(&at) != nil {
+	if dec.Decode(&value) != nil {
 		return "", false
 	}
 	for _, token := range strings.Split(pointer, "/")[1:] {
 		token = strings.NewReplacer("~1", "/", "~0", "~").Replace(token)
-		switch v := at.(type) {
+		switch v := value.(type) {
 		case map[string]any:
-			at = v[token]
+			value = v[token]
 		case []any:
 			i, err := strconv.Atoi(token)
 			if err != nil || i < 0 || i >= len(v) {
 				return "", false
 			}
-			at = v[i]
+			value = v[i]
 		default:
 			return "", false
 		}
 	}
-	switch v := at.(type) {
+	switch v := value.(type) {
 	case string:
 		return v, v != ""
 	case json.Number:
--- a/server/writer.go
+++ b/server/writer.go
@@ -10,14 +10,14 @@
 	"github.com/sardineward/sardineward/streamer"
 )
 
-// shape is how an API spells its answers.
-type shape struct {
-	// object and chunk name a whole answer and a part of it.
+// answerFormat describes the JSON of an API's answers.
+type answerFormat struct {
+	// object and chunk are the object types of a whole answer and of a stream event.
 	object, chunk string
-	// open and close enclose a part's text, as JSON.
-	open, close string
-	// choice makes the choice of a whole answer.
-	choice func(text, finish string) any
+	// textPrefix and textSuffix enclose the text of a stream event, as JSON.
+	textPrefix, textSuffix string
+	// newChoice returns the choice of a whole answer.
+	newChoice func(text, finish string) any
 }
 
 type textChoice struct {
@@ -32,7 +32,7 @@
 	FinishReason string  `json:"finish_reason"`
 }
 
-type answer struct {
+type completion struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Model   string `json:"model"`
@@ -44,72 +44,73 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-var textShape = shape{
+var textFormat = answerFormat{
 	object: "text_completion", chunk: "text_completion",
-	open: `"text":`, close: ``,
-	choice: func(text, finish string) any { return textChoice{Text: text, FinishReason: finish} },
+	textPrefix: `"text":`, textSuffix: ``,
+	newChoice: func(text, finish string) any { return textChoice{Text: text, FinishReason: finish} },
 }
 
-var chatShape = shape{
+var chatFormat = answerFormat{
 	object: "chat.completion", chunk: "chat.completion.chunk",
-	open: `"delta":{"content":`, close: `}`,
-	choice: func(text, finish string) any {
+	textPrefix: `"delta":{"content":`, textSuffix: `}`,
+	newChoice: func(text, finish string) any {
 		return chatChoice{Message: Message{Role: "assistant", Content: text}, FinishReason: finish}
 	},
 }
 
-// writer sends the answer of a generation.
+// writer sends the answer of a generation, as a stream of events or as one body.
 type writer struct {
 	*call
-	shape  shape
+	format answerFormat
 	model  string
 	stream bool
 
-	whole strings.Builder
-	// buf is an event under construction; head is what all events begin with.
+	answerText strings.Builder
+	// buf holds events that are not flushed yet; head is the common beginning of all events.
 	buf  []byte
 	head string
-	// guarded is when the write deadline was last moved.
-	guarded time.Time
+	// deadlineSetAt is when the write deadline was last extended.
+	deadlineSetAt time.Time
 }
 
-// token takes one token. It flushes unless more can be had at once.
-func (w *writer) token(text string, more bool) error {
+// writeToken sends one token. It flushes unless more tokens are available at once and the buffer
+// is small.
+func (w *writer) writeToken(text string, more bool) error {
 	if !w.stream {
-		w.whole.WriteString(text)
+		w.answerText.WriteString(text)
 		return nil
 	}
-	if !w.begun {
-		w.begin()
+	if !w.headWritten {
+		w.writeHead()
 	}
-	w.guard()
+	w.extendWriteDeadline()
 	w.buf = append(w.buf, w.head...)
 	w.buf = appendString(w.buf, text)
-	w.buf = append(w.buf, w.shape.close...)
+	w.buf = append(w.buf, w.format.textSuffix...)
 	w.buf = append(w.buf, `,"finish_reason":null}]}`+"\n\n"...)
-	const enough = 16 << 10
-	if more && len(w.buf) < enough {
+	const flushBytes = 16 << 10
+	if more && len(w.buf) < flushBytes {
 		return nil
 	}
 	return w.flush()
 }
 
-func (w *writer) begin() {
-	w.begun = true
+func (w *writer) writeHead() {
+	w.headWritten = true
 	h := w.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	w.w.WriteHeader(http.StatusOK)
 	model := appendString(nil, w.model)
-	w.head = `data: {"id":"` + w.id + `","object":"` + w.shape.chunk + `","model":` + string(model) + `,"choices":[{"index":0,` + w.shape.open
+	w.head = `data: {"id":"` + w.id + `","object":"` + w.format.chunk + `","model":` + string(model) + `,"choices":[{"index":0,` + w.format.textPrefix
 }
 
-// guard gives each write a time: a caller that reads nothing must not hold its
-// stream, and the engine's, for ever. The deadline is moved once a second.
-func (w *writer) guard() {
-	if now := time.Now(); now.Sub(w.guarded) > time.Second {
-		w.guarded = now
-		w.limitWrite()
+// extendWriteDeadline bounds the time of each write, since a caller that doesn't read must not
+// hold its stream, and the engine's, forever. The deadline is extended at most once a second.
+func (w *writer) extendWriteDeadline() {
+	if now := time.Now(); now.Sub(w.deadlineSetAt) > time.Second {
+		w.deadlineSetAt = now
+		w.setWriteDeadline()
 	}
 }
 
@@ -122,44 +123,44 @@
 	return w.ctl.Flush()
 }
 
-// end finishes a whole answer.
-func (w *writer) end(res streamer.Result) error {
+// finish sends the end of a complete answer.
+func (w *writer) finish(res streamer.Result) error {
 	if !w.stream {
-		return w.writeJSON(answer{
+		return w.writeJSON(completion{
 			ID:      w.id,
-			Object:  w.shape.object,
+			Object:  w.format.object,
 			Model:   w.model,
-			Choices: []any{w.shape.choice(w.whole.String(), res.Finish)},
+			Choices: []any{w.format.newChoice(w.answerText.String(), res.Finish)},
 			Usage:   usage{res.Tokens},
 		})
 	}
 	w.buf = append(w.buf, w.head...)
 	w.buf = append(w.buf, `""`...)
-	w.buf = append(w.buf, w.shape.close...)
+	w.buf = append(w.buf, w.format.textSuffix...)
 	w.buf = append(w.buf, `,"finish_reason":`...)
 	w.buf = appendString(w.buf, res.Finish)
 	w.buf = append(w.buf, "}]}\n\ndata: [DONE]\n\n"...)
 	if err := w.flush(); err != nil {
-		w.Log.Info().Str("requestId", w.id).Err(err).Msg("server: caller went away at the end")
+		w.Log.Info().Str("requestId", w.id).Err(err).Msg("server: writing the end of an answer failed")
 	}
 	return nil
 }
 
-// endStream tells a caller, who has part of the answer, that there is no more.
-func (k *call) endStream(body ErrorBody) {
+// writeStreamError ends a stream that has begun with an error event.
+func (k *call) writeStreamError(body ErrorBody) {
 	src, err := json.Marshal(body)
 	if err != nil {
 		return
 	}
-	k.limitWrite()
+	k.setWriteDeadline()
 	k.w.Write([]byte("event: error\ndata: "))
 	k.w.Write(src)
 	k.w.Write([]byte("\n\n"))
 	k.ctl.Flush()
 }
 
-// appendString appends a JSON string. Plain text, nearly all there is, is
-// copied; the rest is left to encoding/json.
+// appendString appends s as a JSON string. Text without characters to escape, the common case, is
+// copied; all other text goes through encoding/json.
 func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c == '"' || c == '\\' || c >= utf8.RuneSelf {
