--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -1,8 +1,8 @@
-// Package matcher finds the route and the workspace of a request in a route
-// table: host and longest path prefix, split by weight, and keys.
+// Package matcher finds the route and the workspace of a request in a route table. A route is
+// selected by host and longest path prefix, its service by weight, and a workspace by key.
 //
-// A Configuration is what operators declare; New compiles it into a Table that
-// is safe for concurrent use and never changes. The package does no I/O.
+// A Configuration is what operators declare. New compiles it into a Table, which is immutable and
+// safe for concurrent use. The package does no I/O.
 package matcher
 
 import (
@@ -13,7 +13,7 @@
 
 //go:generate enumer -type Kind -trimprefix Kind -transform title-lower -output kind_gen.go
 
-// Kind is what may be repeated of a route's requests.
+// Kind says whether the requests of a route may be repeated. The zero value is KindNonIdempotent.
 type Kind int
 
 // The kinds of a route.
@@ -22,40 +22,40 @@
 	KindNonIdempotent Kind = iota
 	// KindIdempotent requests may run again.
 	KindIdempotent
-	// KindStreaming requests are answered by events with rising ids.
+	// KindStreaming requests are answered by a stream of events with increasing IDs.
 	KindStreaming
 )
 
-// Split sends a part of a route's requests to a service.
+// Split sends a share of a route's requests to a service.
 type Split struct {
 	Service string `json:"service"`
-	// Weight is relative to the other splits of the route; at least 0.
+	// Weight is the share relative to the other splits of the route; at least 0.
 	Weight int `json:"weight"`
 }
 
-// Route says where requests of a host below a path prefix go.
+// Route declares how requests to a host below a path prefix are served.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
 	// Prefix begins and ends with a slash.
 	Prefix string `json:"prefix"`
 	Kind   Kind   `json:"kind"`
-	// Timeout bounds the whole request; 0 means none.
+	// Timeout bounds the whole request; 0 means no limit.
 	Timeout time.Duration `json:"timeout"`
-	// Target is the latency that callers expect, to the first event of a stream.
+	// Target is the latency that callers expect; for a stream, that of the first event.
 	Target time.Duration `json:"target"`
-	// Gap is the longest pause between two events that callers expect; 0 where
-	// the route does not stream.
+	// Gap is the longest time between two events that callers expect; 0 where the route does not
+	// stream.
 	Gap time.Duration `json:"gap"`
-	// Priority is the rank; 0 is served first.
+	// Priority is the rank in queues; 0 is served first.
 	Priority int `json:"priority"`
-	// Splits are never empty.
+	// Splits holds at least one entry.
 	Splits []Split `json:"splits"`
-	// MaxAttempts is how many upstreams may run one request; at least 1.
+	// MaxAttempts bounds the upstreams that may run one request; at least 1.
 	MaxAttempts int `json:"maxAttempts"`
 	// Public routes need no key.
 	Public bool `json:"public"`
-	// Resumable streams may go on at another upstream after their last event.
+	// Resumable streams may continue on another upstream after the last event that was sent.
 	Resumable bool `json:"resumable"`
 }
 
@@ -64,68 +64,69 @@
 	return r.Kind == KindIdempotent || (r.Kind == KindStreaming && r.Resumable)
 }
 
-// Service is a set of upstreams that are alike.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string `json:"name"`
-	// MaxConnections is what one upstream accepts from all hosts together.
+	// MaxConnections bounds the connections that one upstream accepts from all hosts together.
 	MaxConnections int `json:"maxConnections"`
-	// Engine is nil where upstreams answer alone, without layers.
+	// Engine is nil where each upstream answers on its own, without layers.
 	Engine *Engine `json:"engine"`
 }
 
-// Engine says how the upstreams of a service run a model together.
+// Engine describes how the upstreams of a service run a model together.
 type Engine struct {
-	// Layers is how many the model has, LayerMB the size of one in MB.
+	// Layers is the number of layers of the model, and LayerMB the size of one in MB.
 	Layers  int     `json:"layers"`
 	LayerMB float64 `json:"layerMB"`
-	// TokenBytes is the cache memory of one token over all layers.
+	// TokenBytes is the cache memory of one token over all layers, in bytes.
 	TokenBytes float64 `json:"tokenBytes"`
-	// StepMs is the time of one token step over all layers; PerSequenceMs and
-	// PerContextMs (for 1,000 tokens) come on top for each request in the batch.
+	// StepMs is the time of one token step over all layers. Each request in the batch adds
+	// PerSequenceMs, and PerContextMs for every 1,000 tokens of its context.
 	StepMs        float64 `json:"stepMs"`
 	PerSequenceMs float64 `json:"perSequenceMs"`
 	PerContextMs  float64 `json:"perContextMs"`
-	// ReadPerSecond is how many prompt tokens are read in a second.
+	// ReadPerSecond is the number of prompt tokens processed per second.
 	ReadPerSecond float64 `json:"readPerSecond"`
-	// ActivationBytes of a token cross each link of a path.
+	// ActivationBytes is the size of the activations of one token, which cross each link of a
+	// path.
 	ActivationBytes float64 `json:"activationBytes"`
-	// PipeMbps is what all share between two data centres, LinkMbps what one
-	// upstream has.
+	// PipeMbps is the shared bandwidth between two data centres, LinkMbps the bandwidth of one
+	// upstream.
 	PipeMbps float64 `json:"pipeMbps"`
 	LinkMbps float64 `json:"linkMbps"`
-	// LoadTime is how long the whole model takes to load.
+	// LoadTime is the time to load the whole model.
 	LoadTime time.Duration `json:"loadTime"`
-	// LoadsAtOnce is how many loads run without slowing each other down.
+	// LoadsAtOnce is the number of loads that run concurrently without slowing each other down.
 	LoadsAtOnce int `json:"loadsAtOnce"`
-	// Slots is how many requests one upstream runs as the first of a path.
+	// Slots is the number of requests that one upstream runs as the first of a path.
 	Slots int `json:"slots"`
-	// Prompt and Answer are the usual numbers of tokens.
+	// Prompt and Answer are the typical numbers of tokens of a prompt and of an answer.
 	Prompt float64 `json:"prompt"`
 	Answer float64 `json:"answer"`
-	// Cards are the kinds of accelerator; empty means all are alike.
+	// Cards are the kinds of accelerator; empty means that all are alike.
 	Cards []Card `json:"cards"`
 }
 
-// Card is one kind of accelerator.
+// Card describes one kind of accelerator.
 type Card struct {
 	Name string `json:"name"`
-	// MB is its memory for layers and requests.
+	// MB is the memory for layers and requests.
 	MB float64 `json:"mb"`
-	// Pace multiplies the time of steps, ReadPace that of reading prompts.
+	// Pace multiplies the time of a step, ReadPace the time to process a prompt.
 	Pace     float64 `json:"pace"`
 	ReadPace float64 `json:"readPace"`
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a set of keys that share a priority.
 type Workspace struct {
 	Name string   `json:"name"`
 	Keys []string `json:"keys"`
-	// Priority goes before the route's where HasPriority is set; 0 is first.
+	// Priority replaces the route's where HasPriority is set; 0 is served first.
 	Priority    int  `json:"priority"`
 	HasPriority bool `json:"hasPriority"`
 }
 
-// Limits bound what callers may send.
+// Limits bounds the size and the duration of callers' requests.
 type Limits struct {
 	HeaderBytes   int           `json:"headerBytes"`
 	BodyBytes     int64         `json:"bodyBytes"`
@@ -133,9 +134,9 @@
 	IdleTimeout   time.Duration `json:"idleTimeout"`
 }
 
-// Configuration is everything that operators declare, at one version.
+// Configuration is the complete declaration of operators, at one version.
 type Configuration struct {
-	// Version rises with every change.
+	// Version increases with every change.
 	Version    int64       `json:"version"`
 	Routes     []Route     `json:"routes"`
 	Services   []Service   `json:"services"`
@@ -148,7 +149,7 @@
 	Version  int64
 	Limits   Limits
 	Services map[string]*Service
-	// Keyed is set when requests of routes that aren't public need a key.
+	// Keyed is set when requests to routes that aren't public need a key.
 	Keyed  bool
 	routes map[string]map[string]*Route
 	keys   map[string]*Workspace
@@ -183,10 +184,10 @@
 	return t
 }
 
-// Route returns the route of a host with the longest prefix of path, or nil.
-// path is as the caller sent it, without the query.
+// Route returns the route of a host with the longest prefix of path, or nil. path is as the
+// caller sent it, without the query.
 func (t *Table) Route(host, path string) *Route {
-	byPrefix := t.routes[hostOnly(host)]
+	byPrefix := t.routes[normalizeHost(host)]
 	for end := len(path); end > 0; {
 		end = strings.LastIndexByte(path[:end], '/')
 		if end < 0 {
@@ -202,23 +203,23 @@
 // Workspace returns the workspace that holds a key, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
 
-// Service draws the service of a request: draw is uniform in [0, 1).
+// Service selects the service of a request by weight. draw is a random number, uniform in [0, 1).
 func (t *Table) Service(r *Route, draw float64) *Service {
 	total := 0
 	for _, s := range r.Splits {
 		total += s.Weight
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range r.Splits {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return t.Services[s.Service]
 		}
 	}
 	return t.Services[r.Splits[0].Service]
 }
 
-func hostOnly(host string) string {
+func normalizeHost(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
