--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -1,10 +1,9 @@
-// Package watcher keeps the operators' configuration in force on a host, and
-// submits new ones.
+// Package watcher keeps a host on the newest configuration of the operators, and submits new
+// configurations.
 //
-// A configuration stands in the platform as parts, named by their hash, and one
-// head that lists them under a revision. Hosts only ever move to a higher
-// revision. A few hosts a data centre read the platform; the others hear of a
-// revision by gossip and pull it from their peers.
+// The platform stores a configuration as parts, named by their hash, and one head that lists the
+// parts of a revision. Hosts only ever move to a higher revision. A few hosts of each data centre
+// watch the platform; the others learn of a revision by gossip and fetch it from their peers.
 package watcher
 
 import (
@@ -33,67 +32,69 @@
 const (
 	headKey    = "configuration/head"
 	partPrefix = "configuration/part/"
-	// partMost bounds a part's bytes, and one name in partEvery ends one, before
-	// it is compressed. A change of one upstream then costs a host the part it
-	// is in and the head, in place of the whole 2 MB.
-	partMost  = 64 << 10
-	partEvery = 64
-	// recentIDs is how many submissions the head remembers, so that a lost
-	// answer can be settled although others submitted meanwhile.
-	recentIDs = 64
+	// maxPartBytes bounds a part's size before compression, and on average one name in
+	// namesPerPart ends a part. A change of one upstream then costs a host one part and the head
+	// in place of the whole 2 MB.
+	maxPartBytes = 64 << 10
+	namesPerPart = 64
+	// maxRecent is the number of earlier submissions kept in the head, so that a submission whose
+	// answer was lost is still found after others.
+	maxRecent = 64
 )
 
-// Head names the parts of the configuration in force.
+// Head lists the parts of a configuration revision.
 type Head struct {
 	// Revision counts from 1.
 	Revision int64 `json:"revision"`
 	// Parts are the hashes of the parts, in order.
 	Parts []string `json:"parts"`
-	// Submission is the id of the submission that made this revision.
+	// Submission is the ID of the submission that made this revision.
 	Submission string `json:"submission"`
-	// By says who submitted it.
+	// By names the submitter.
 	By string `json:"by"`
-	// Recent are earlier submissions, the last first.
+	// Recent holds earlier submissions, the newest first.
 	Recent []Submission `json:"recent,omitempty"`
 }
 
-// Submission is what the head remembers of one.
+// Submission is the record of an earlier submission in a head.
 type Submission struct {
 	ID       string `json:"id"`
 	Revision int64  `json:"revision"`
 	By       string `json:"by"`
 }
 
-// check reports what makes a decoded head unusable.
-func (h *Head) check() error {
+// validate returns an error when a decoded head is unusable.
+func (h *Head) validate() error {
 	if h.Revision < 1 || len(h.Parts) == 0 {
-		return fmt.Errorf("head of revision %d with %d parts", h.Revision, len(h.Parts))
+		return fmt.Errorf("invalid head: revision %d with %d parts, want at least 1 of each", h.Revision, len(h.Parts))
 	}
 	return nil
 }
 
-// Fetcher gets heads and parts from other hosts.
+// Fetcher fetches heads and parts from other hosts.
 type Fetcher interface {
-	// Fetch returns a head (part empty) or a part's bytes from any host that
-	// has a revision of at least atLeast.
+	// Fetch returns the head (part empty) or the bytes of a part from any host with a revision of
+	// at least atLeast.
 	Fetch(ctx context.Context, part string, atLeast int64) ([]byte, error)
 }
 
-// Watcher is safe for concurrent use. The fields are set before Run.
+// Watcher keeps the configuration of a host up to date. It is safe for concurrent use. The
+// exported fields are set before Run.
 type Watcher struct {
 	Store storer.Store
 	Peers Fetcher
-	// Reads reports whether this host is among the readers of the platform.
+	// Reads reports whether this host watches the platform.
 	Reads func() bool
-	// Apply is called with each configuration that comes in force, in order.
+	// Apply is called with each configuration that is put in force, in order of revisions.
 	Apply func(revision int64, cfg *builder.Configuration)
-	// Period is the longest time between two looks at the platform.
+	// Period is the interval between retries, and the longest time between two reads of the
+	// platform.
 	Period  time.Duration
 	Checker *checker.Checker
 	Log     zerolog.Logger
 
 	revision atomic.Int64
-	// target is the highest revision heard of.
+	// target is the highest known revision.
 	target  atomic.Int64
 	wake    chan struct{}
 	mu      sync.Mutex
@@ -102,20 +103,20 @@
 	current *builder.Configuration
 }
 
-// Start makes the watcher ready; call it before any other method.
+// Start initializes the watcher; call it before any other method.
 func (w *Watcher) Start() { w.wake = make(chan struct{}, 1) }
 
-// Revision is the one in force; 0 means none yet.
+// Revision returns the revision in force; 0 means none yet.
 func (w *Watcher) Revision() int64 { return w.revision.Load() }
 
-// Current is the configuration in force; nil means none yet.
+// Current returns the configuration in force; nil means none yet.
 func (w *Watcher) Current() *builder.Configuration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.current
 }
 
-// Heard tells that a revision exists somewhere.
+// Heard records that a revision exists, and wakes Run when it is newer than all known ones.
 func (w *Watcher) Heard(revision int64) {
 	for {
 		old := w.target.Load()
@@ -132,20 +133,19 @@
 	}
 }
 
-// Behind reports whether a higher revision than the one in force exists, or
-// none is in force yet.
+// Behind reports whether a higher revision than the one in force is known, or none is in force
+// yet.
 func (w *Watcher) Behind() bool {
 	rev := w.Revision()
 	return rev == 0 || rev < w.target.Load()
 }
 
-// Run keeps the configuration in force until ctx ends. A pull that failed is
-// tried again each period: a host that joins hears of the revision before it
-// knows a peer to ask.
+// Run keeps the configuration up to date until ctx ends. A failed fetch is retried each period,
+// since a joining host may learn of a revision before it knows a peer to ask.
 func (w *Watcher) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { w.runPlatform(ctx) })
+	wg.Go(func() { w.watchPlatform(ctx) })
 	for {
 		select {
 		case <-ctx.Done():
@@ -154,13 +154,14 @@
 		case <-time.After(w.Period):
 		}
 		if w.Behind() {
-			w.pull(ctx, max(1, w.target.Load()))
+			w.pullFromPeers(ctx, max(1, w.target.Load()))
 		}
 	}
 }
 
-// runPlatform waits on the head while this host is a reader, or has none yet.
-func (w *Watcher) runPlatform(ctx context.Context) {
+// watchPlatform watches the head in the platform while this host is a reader or has no
+// configuration yet.
+func (w *Watcher) watchPlatform(ctx context.Context) {
 	var after int64
 	for ctx.Err() == nil {
 		if w.Revision() != 0 && !w.Reads() {
@@ -168,27 +169,27 @@
 			continue
 		}
 		var err error
-		if after, err = w.look(ctx, after); err != nil {
-			w.Log.Debug().Err(err).Msg("watcher: platform gave no head")
+		if after, err = w.watchHead(ctx, after); err != nil {
+			w.Log.Debug().Err(err).Msg("watcher: reading the head from the platform failed")
 			sleep(ctx, w.Period)
 		}
 	}
 }
 
-// look waits for the head to change; a watch that ends without a change is
-// begun again, so that a reader that lost its duty stops.
-func (w *Watcher) look(ctx context.Context, after int64) (int64, error) {
-	const patience = 10
-	wait, cancel := context.WithTimeout(ctx, patience*w.Period)
+// watchHead waits for the head to change. A watch without a change ends after watchPeriods, so
+// that a host that is no longer a reader stops watching.
+func (w *Watcher) watchHead(ctx context.Context, after int64) (int64, error) {
+	const watchPeriods = 10
+	watchCtx, cancel := context.WithTimeout(ctx, watchPeriods*w.Period)
 	defer cancel()
-	e, err := w.Store.Watch(wait, headKey, after)
-	if wait.Err() != nil && ctx.Err() == nil {
+	e, err := w.Store.Watch(watchCtx, headKey, after)
+	if watchCtx.Err() != nil && ctx.Err() == nil {
 		return after, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	return e.Revision, w.take(ctx, e.Value, w.readPart)
+	return e.Revision, w.applyHead(ctx, e.Value, w.readPart)
 }
 
 func (w *Watcher) readPart(ctx context.Context, hash string) ([]byte, error) {
@@ -196,42 +197,42 @@
 	return e.Value, err
 }
 
-// pull gets a revision from peers, and failing that from the platform.
-func (w *Watcher) pull(ctx context.Context, rev int64) {
+// pullFromPeers fetches revision rev or a higher one from other hosts.
+func (w *Watcher) pullFromPeers(ctx context.Context, rev int64) {
 	if rev <= w.Revision() {
 		return
 	}
 	head, err := w.Peers.Fetch(ctx, "", rev)
 	if err != nil {
-		w.Log.Debug().Int64("revision", rev).Err(err).Msg("watcher: no peer has the revision")
+		w.Log.Debug().Int64("revision", rev).Err(err).Msg("watcher: fetching the head from peers failed")
 		return
 	}
-	err = w.take(ctx, head, func(ctx context.Context, hash string) ([]byte, error) {
+	err = w.applyHead(ctx, head, func(ctx context.Context, hash string) ([]byte, error) {
 		return w.Peers.Fetch(ctx, hash, rev)
 	})
 	if err != nil {
-		w.Log.Warn().Int64("revision", rev).Err(err).Msg("watcher: revision not taken in")
+		w.Log.Warn().Int64("revision", rev).Err(err).Msg("watcher: applying a revision failed")
 	}
 }
 
-// take puts a head in force when its revision is higher.
-func (w *Watcher) take(ctx context.Context, src []byte, get func(context.Context, string) ([]byte, error)) error {
+// applyHead puts the revision of a head in force when it is higher than the current one.
+func (w *Watcher) applyHead(ctx context.Context, src []byte, get func(context.Context, string) ([]byte, error)) error {
 	head, err := decodeHead(src)
 	if err != nil {
 		return err
 	}
-	// The platform answered from an old copy, or a peer that was cut off: a
-	// configuration that operators had replaced came back, for some hosts.
+	// The head may come from an old copy of the platform or from a peer that was cut off.
+	// Applying it would put a configuration back in force that operators had replaced.
 	if head.Revision <= w.Revision() {
 		return nil
 	}
-	parts, err := w.collect(ctx, head, get)
+	parts, err := w.collectParts(ctx, head, get)
 	if err != nil {
 		return err
 	}
 	var whole []byte
 	for _, h := range head.Parts {
-		if whole, err = expand(whole, parts[h]); err != nil {
+		if whole, err = appendExpanded(whole, parts[h]); err != nil {
 			return fmt.Errorf("expanding part %s: %w", h, err)
 		}
 	}
@@ -239,17 +240,17 @@
 	if err != nil {
 		return fmt.Errorf("reading revision %d: %w", head.Revision, err)
 	}
-	w.force(head, src, parts, cfg)
+	w.putInForce(head, src, parts, cfg)
 	return nil
 }
 
-func (w *Watcher) collect(ctx context.Context, head *Head, get func(context.Context, string) ([]byte, error)) (map[string][]byte, error) {
+func (w *Watcher) collectParts(ctx context.Context, head *Head, get func(context.Context, string) ([]byte, error)) (map[string][]byte, error) {
 	w.mu.Lock()
-	have := w.parts
+	known := w.parts
 	w.mu.Unlock()
 	parts := make(map[string][]byte)
 	for _, h := range head.Parts {
-		if p, ok := have[h]; ok {
+		if p, ok := known[h]; ok {
 			parts[h] = p
 			continue
 		}
@@ -257,15 +258,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("reading part %s: %w", h, err)
 		}
-		if hashOf(p) != h {
-			return nil, fmt.Errorf("part %s has another hash", h)
+		if hashPart(p) != h {
+			return nil, fmt.Errorf("part %s does not match its hash", h)
 		}
 		parts[h] = p
 	}
 	return parts, nil
 }
 
-func (w *Watcher) force(head *Head, src []byte, parts map[string][]byte, cfg *builder.Configuration) {
+func (w *Watcher) putInForce(head *Head, src []byte, parts map[string][]byte, cfg *builder.Configuration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	old := w.revision.Load()
@@ -279,7 +280,8 @@
 	w.Log.Info().Int64("revision", head.Revision).Str("by", head.By).Msg("watcher: revision in force")
 }
 
-// Serve gives a peer the head (part empty) or a part.
+// Serve returns the head (part empty) or a part for a peer, and the revision in force. The body
+// is nil when this host doesn't have the part.
 func (w *Watcher) Serve(part string) (body []byte, revision int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -294,13 +296,13 @@
 	if err := json.Unmarshal(src, h); err != nil {
 		return nil, fmt.Errorf("decoding head: %w", err)
 	}
-	return h, h.check()
+	return h, h.validate()
 }
 
-func hashOf(b []byte) string {
-	const bytes = 12
+func hashPart(b []byte) string {
+	const hashBytes = 12
 	sum := sha256.Sum256(b)
-	return base64.RawURLEncoding.EncodeToString(sum[:bytes])
+	return base64.RawURLEncoding.EncodeToString(sum[:hashBytes])
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -310,20 +312,20 @@
 	}
 }
 
-// Conflict tells who won a race for a revision.
+// Conflict is the error of a submission that another one preceded.
 type Conflict struct {
-	// Base is what the submission was made against, Have what is in force.
+	// Base is the revision that the submission was made against, Have the one in force.
 	Base, Have int64
-	// By submitted what is in force.
+	// By names the submitter of the revision in force.
 	By string
 }
 
-// Error names the winner.
+// Error names the submitter and the revision in force.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("submitted against revision %d, but %q made revision %d", c.Base, c.By, c.Have)
+	return fmt.Sprintf("submitted against revision %d, but %q submitted revision %d", c.Base, c.By, c.Have)
 }
 
-// ReadHead returns the head and its entry; a nil head means there is none.
+// ReadHead returns the head and its entry in the store. A nil head means that there is none.
 func ReadHead(ctx context.Context, store storer.Store) (*Head, storer.Entry, error) {
 	e, err := store.Get(ctx, headKey)
 	if errors.Is(err, storer.ErrNotFound) {
@@ -336,7 +338,7 @@
 	return h, e, err
 }
 
-// ReadConfiguration returns the text that a head names.
+// ReadConfiguration returns the text of the configuration that a head lists.
 func ReadConfiguration(ctx context.Context, store storer.Store, head *Head) ([]byte, error) {
 	var whole []byte
 	for _, h := range head.Parts {
@@ -344,17 +346,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("reading part %s: %w", h, err)
 		}
-		if whole, err = expand(whole, e.Value); err != nil {
+		if whole, err = appendExpanded(whole, e.Value); err != nil {
 			return nil, fmt.Errorf("expanding part %s: %w", h, err)
 		}
 	}
 	return whole, nil
 }
 
-// Submit makes src the configuration that follows revision base, under an id
-// that is the same for every try of one submission. It returns the revision.
-// The error is a *Conflict when another submission came first. A lost answer
-// is settled by looking for the id.
+// Submit makes src the configuration that follows revision base, and returns the new revision.
+// All retries of a submission share its id, by which Submit finds out whether a write took effect
+// whose answer was lost. The error is a *Conflict when another submission came first.
 func Submit(ctx context.Context, store storer.Store, src []byte, base int64, id, by string) (int64, error) {
 	cfg, err := builder.Parse("configuration", src)
 	if err != nil {
@@ -369,14 +370,14 @@
 	}
 	for {
 		rev, err := submitHead(ctx, store, parts, base, id, by)
-		if err == nil || !unsettled(err) || ctx.Err() != nil {
+		if err == nil || !isRetryable(err) || ctx.Err() != nil {
 			return rev, err
 		}
 		sleep(ctx, 100*time.Millisecond)
 	}
 }
 
-func unsettled(err error) bool {
+func isRetryable(err error) bool {
 	return errors.Is(err, storer.ErrUncertain) || errors.Is(err, storer.ErrUnavailable) || errors.Is(err, storer.ErrConflict)
 }
 
@@ -388,13 +389,13 @@
 	if head == nil {
 		head = new(Head)
 	}
-	if rev, ok := head.find(id); ok {
+	if rev, ok := head.findSubmission(id); ok {
 		return rev, nil
 	}
 	if head.Revision != base {
 		return 0, &Conflict{Base: base, Have: head.Revision, By: head.By}
 	}
-	next := &Head{Revision: base + 1, Parts: parts, Submission: id, By: by, Recent: head.remember()}
+	next := &Head{Revision: base + 1, Parts: parts, Submission: id, By: by, Recent: head.recentSubmissions()}
 	value, err := json.Marshal(next)
 	if err != nil {
 		return 0, fmt.Errorf("encoding head: %w", err)
@@ -405,7 +406,7 @@
 	return next.Revision, nil
 }
 
-func (h *Head) find(id string) (int64, bool) {
+func (h *Head) findSubmission(id string) (int64, bool) {
 	if h.Submission == id {
 		return h.Revision, true
 	}
@@ -417,27 +418,27 @@
 	return 0, false
 }
 
-func (h *Head) remember() []Submission {
+func (h *Head) recentSubmissions() []Submission {
 	if h.Revision == 0 {
 		return nil
 	}
 	out := append([]Submission{{ID: h.Submission, Revision: h.Revision, By: h.By}}, h.Recent...)
-	return out[:min(len(out), recentIDs)]
+	return out[:min(len(out), maxRecent)]
 }
 
-// writeParts writes the parts that the head in force doesn't name already.
+// writeParts stores the parts that the current head doesn't list yet, and returns all hashes.
 func writeParts(ctx context.Context, store storer.Store, src []byte) ([]string, error) {
 	head, _, err := ReadHead(ctx, store)
-	if err != nil && !unsettled(err) {
+	if err != nil && !isRetryable(err) {
 		return nil, err
 	}
 	var hashes []string
-	for _, text := range cut(src) {
+	for _, text := range splitParts(src) {
 		part, err := compress(text)
 		if err != nil {
 			return nil, err
 		}
-		h := hashOf(part)
+		h := hashPart(part)
 		hashes = append(hashes, h)
 		if head != nil && slices.Contains(head.Parts, h) {
 			continue
@@ -449,7 +450,7 @@
 	return hashes, nil
 }
 
-// compress packs a part's text; equal texts give equal bytes.
+// compress compresses a part's text. Equal texts give equal bytes, since the hash names the part.
 func compress(text []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
@@ -465,59 +466,58 @@
 	return b.Bytes(), nil
 }
 
-// expand appends a part's text. No part is made above partMost and a line, so
-// one that expands to far more is not one.
-func expand(whole, part []byte) ([]byte, error) {
-	const most = 4 * partMost
+// appendExpanded appends the text of a compressed part. Parts exceed maxPartBytes by at most one
+// line, so one that expands to far more is invalid.
+func appendExpanded(whole, part []byte) ([]byte, error) {
+	const maxTextBytes = 4 * maxPartBytes
 	r, err := gzip.NewReader(bytes.NewReader(part))
 	if err != nil {
 		return nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(r, most+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxTextBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > most {
-		return nil, fmt.Errorf("part is above %d bytes", most)
+	if len(text) > maxTextBytes {
+		return nil, fmt.Errorf("part expands to more than %d bytes", maxTextBytes)
 	}
 	return append(whole, text...), nil
 }
 
-// cut divides a configuration into parts at lines that the text itself picks,
-// so that an upstream added in the middle changes one part and not all that
-// follow it.
-func cut(src []byte) [][]byte {
+// splitParts splits a configuration at lines chosen by their content, so that an upstream added
+// in the middle changes one part and not all parts after it.
+func splitParts(src []byte) [][]byte {
 	var parts [][]byte
-	begin := 0
-	for at := 0; at < len(src); {
-		end := at + bytes.IndexByte(src[at:], '\n') + 1
-		if end == at {
-			end = len(src)
+	partStart := 0
+	for lineStart := 0; lineStart < len(src); {
+		lineEnd := lineStart + bytes.IndexByte(src[lineStart:], '\n') + 1
+		if lineEnd == lineStart {
+			lineEnd = len(src)
 		}
-		// Only names are unique: at a line that stands in every upstream, parts
-		// would end by their size, and all after a change would be others.
-		named := bytes.Contains(src[at:end], []byte(`"name": `))
-		if named && xxhash.Sum64(src[at:end])%partEvery == 0 || end-begin >= partMost {
-			parts = append(parts, src[begin:end])
-			begin = end
+		// Only name lines are unique. Lines that occur in every upstream would never end a part
+		// or always do, so parts would end by size, and a change would shift all parts after it.
+		hasName := bytes.Contains(src[lineStart:lineEnd], []byte(`"name": `))
+		if hasName && xxhash.Sum64(src[lineStart:lineEnd])%namesPerPart == 0 || lineEnd-partStart >= maxPartBytes {
+			parts = append(parts, src[partStart:lineEnd])
+			partStart = lineEnd
 		}
-		at = end
+		lineStart = lineEnd
 	}
-	if begin < len(src) {
-		parts = append(parts, src[begin:])
+	if partStart < len(src) {
+		parts = append(parts, src[partStart:])
 	}
 	return parts
 }
 
-// writePart tries until the part is there; a conflict means that it is, since
-// its name is its hash.
+// writePart retries until the part is stored. A conflict means that it is stored already, since
+// its key is its hash.
 func writePart(ctx context.Context, store storer.Store, hash string, part []byte) error {
 	for {
 		_, err := store.Swap(ctx, storer.Write{Key: partPrefix + hash, Value: part})
 		if err == nil || errors.Is(err, storer.ErrConflict) {
 			return nil
 		}
-		if !unsettled(err) || ctx.Err() != nil {
+		if !isRetryable(err) || ctx.Err() != nil {
 			return fmt.Errorf("writing part: %w", err)
 		}
 		sleep(ctx, 100*time.Millisecond)
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -14,9 +14,8 @@
 	"github.com/sardineward/sardineward/checker"
 )
 
-// TestNeverBack. The platform fails over to an old copy, and a host that reads
-// it again is given the revision before the one in force. It put that back in
-// force, and callers met a configuration that operators had replaced.
+// TestNeverBack guards against a host that goes back to an older revision because the platform
+// answers from an old copy after a failover.
 func TestNeverBack(t *testing.T) {
 	src, err := builder.Canonical(&builder.Configuration{})
 	is := is.New(t)
@@ -31,30 +30,29 @@
 	is.NoErr(err)
 	get := func(context.Context, string) ([]byte, error) { return part, nil }
 	for _, rev := range []int64{1, 3, 2, 1, 3, 4, 2} {
-		head, err := json.Marshal(Head{Revision: rev, Parts: []string{hashOf(part)}})
+		head, err := json.Marshal(Head{Revision: rev, Parts: []string{hashPart(part)}})
 		is.NoErr(err)
-		is.NoErr(w.take(t.Context(), head, get))
+		is.NoErr(w.applyHead(t.Context(), head, get))
 	}
 	is.Equal(seen, []int64{1, 3, 4})
 }
 
-// TestForeignPart. A peer hands out a part whose bytes are not what its name
-// says. It must not come in force.
-func TestForeignPart(t *testing.T) {
+// TestPartHashMismatch guards against applying a part whose bytes don't match its hash.
+func TestPartHashMismatch(t *testing.T) {
 	w := &Watcher{Apply: func(int64, *builder.Configuration) { t.Error("applied") }}
 	w.Start()
-	head, err := json.Marshal(Head{Revision: 1, Parts: []string{hashOf([]byte("{}"))}})
+	head, err := json.Marshal(Head{Revision: 1, Parts: []string{hashPart([]byte("{}"))}})
 	is := is.New(t)
 	is.NoErr(err)
-	err = w.take(t.Context(), head, func(context.Context, string) ([]byte, error) { return []byte("[]"), nil })
+	err = w.applyHead(t.Context(), head, func(context.Context, string) ([]byte, error) { return []byte("[]"), nil })
 	is.True(err != nil)
 	is.True(!errors.Is(err, context.Canceled))
 	is.Equal(w.Revision(), int64(0))
 }
 
-// TestCut changes one upstream in the middle of thousands, and checks how much
-// of the configuration hosts must fetch for it.
-func TestCut(t *testing.T) {
+// TestSplitParts changes one upstream in the middle of thousands, and checks how many bytes of
+// parts hosts must fetch for it.
+func TestSplitParts(t *testing.T) {
 	is := is.New(t)
 	text := func(n, changed int) []byte {
 		cfg := &builder.Configuration{}
@@ -75,17 +73,17 @@
 		return src
 	}
 	for _, n := range []int{100, 1000, 10000} {
-		had := make(map[string]bool)
-		before := cut(text(n, -1))
+		known := make(map[string]bool)
+		before := splitParts(text(n, -1))
 		is.Equal(bytes.Join(before, nil), text(n, -1))
 		for _, p := range before {
-			had[hashOf(p)] = true
+			known[hashPart(p)] = true
 		}
-		after := cut(text(n, n/2))
+		after := splitParts(text(n, n/2))
 		fetched, size := 0, 0
 		for _, p := range after {
 			size += len(p)
-			if !had[hashOf(p)] {
+			if !known[hashPart(p)] {
 				packed, err := compress(p)
 				is.NoErr(err)
 				fetched += len(packed)
@@ -93,6 +91,6 @@
 		}
 		head := len(after) * (16 + 3)
 		t.Logf("%d upstreams: %d bytes in %d parts; a change costs %d bytes of parts and %d of head", n, size, len(after), fetched, head)
-		is.True(fetched <= partMost/4)
+		is.True(fetched <= maxPartBytes/4)
 	}
 }
