--- a/loader/forward.go
+++ b/loader/forward.go
@@ -10,8 +10,8 @@
 	"github.com/sardineward/sardineward/schema"
 )
 
-// LoadForward reads the settings of a host that forwards by a route table. The
-// error is a parser.Findings when the file could be read but is wrong.
+// LoadForward reads the settings of a host that forwards by a route table. The error is a
+// parser.Findings when the file is readable but its content is invalid.
 func LoadForward(file string) (*Forward, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return ParseForward(file, src)
 }
 
-// ParseForward checks and decodes settings that were read under the name file.
+// ParseForward validates and decodes the content of a settings file. file names it in findings.
 func ParseForward(file string, src []byte) (*Forward, error) {
 	doc, found := parser.Parse(file, src, schema.Forward)
 	if len(found) > 0 {
@@ -30,15 +30,15 @@
 	if err := doc.Decode(cfg); err != nil {
 		return nil, err
 	}
-	for _, one := range []struct{ pointer, addr string }{
+	for _, setting := range []struct{ pointer, addr string }{
 		{"/callers", cfg.Callers},
 		{"/ready", cfg.Ready},
 		{"/peer", cfg.Peer},
 		{"/admin", cfg.Admin},
 		{"/platform", cfg.Platform},
 	} {
-		if _, err := netip.ParseAddrPort(one.addr); err != nil {
-			found = append(found, doc.At(one.pointer, "want IP:port, have "+strconv.Quote(one.addr)))
+		if _, err := netip.ParseAddrPort(setting.addr); err != nil {
+			found = append(found, doc.At(setting.pointer, "want IP:port, have "+strconv.Quote(setting.addr)))
 		}
 	}
 	if err := found.Err(); err != nil {
--- a/loader/forward_test.go
+++ b/loader/forward_test.go
@@ -27,7 +27,8 @@
 	is.Equal(cfg.StopMs, 7500) // its default
 }
 
-// TestForwardFindings: all that is wrong is told at once, each with its place.
+// TestForwardFindings checks that all errors in settings are reported at once, each with its
+// position.
 func TestForwardFindings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		old, new string
@@ -52,7 +53,8 @@
 	}
 }
 
-// TestTemplate fills the template that the platform fills at every start.
+// TestTemplate checks the settings template in deploy, which the platform fills in at every
+// start.
 func TestTemplate(t *testing.T) {
 	is := is.New(t)
 	src, err := os.ReadFile("../deploy/settings.jsonc")
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,5 +1,6 @@
-// Package loader reads the settings of one host: JSON with comments, checked
-// against schema/settings.schema.json, with every finding reported at once.
+// Package loader reads the settings of one host: JSON with comments, validated against
+// schema/settings.schema.json or the schema of a forwarding host, with all findings reported at
+// once.
 package loader
 
 import (
@@ -13,8 +14,8 @@
 	"github.com/sardineward/sardineward/schema"
 )
 
-// Load reads a settings file. The error is a parser.Findings when the file
-// could be read but is wrong.
+// Load reads a settings file. The error is a parser.Findings when the file is readable but its
+// content is invalid.
 func Load(file string) (*Settings, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -23,7 +24,7 @@
 	return Parse(file, src)
 }
 
-// Parse checks and decodes settings that were read under the name file.
+// Parse validates and decodes the content of a settings file. file names it in findings.
 func Parse(file string, src []byte) (*Settings, error) {
 	doc, found := parser.Parse(file, src, schema.Settings)
 	if len(found) > 0 {
@@ -42,19 +43,19 @@
 	return cfg, nil
 }
 
-// Fill gives absent groups their defaults and an endpoint without an
-// advertised address its listening one.
+// Fill sets the defaults of absent groups, and the advertised address of an endpoint without one
+// to its listening address.
 func (j *Settings) Fill() error {
-	if err := fill(&j.Limits); err != nil {
+	if err := setDefaults(&j.Limits); err != nil {
 		return err
 	}
-	if err := fill(&j.Timing); err != nil {
+	if err := setDefaults(&j.Timing); err != nil {
 		return err
 	}
-	if err := fill(&j.Log); err != nil {
+	if err := setDefaults(&j.Log); err != nil {
 		return err
 	}
-	if err := fill(&j.TLS); err != nil {
+	if err := setDefaults(&j.TLS); err != nil {
 		return err
 	}
 	for _, e := range []*Endpoint{&j.Callers, &j.Peer, &j.Admin} {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-func fill[T any](group **T) error {
+func setDefaults[T any](group **T) error {
 	if *group != nil {
 		return nil
 	}
@@ -75,12 +76,12 @@
 
 func checkAddresses(doc *parser.Document, cfg *Settings) parser.Findings {
 	var found parser.Findings
-	check := func(pointer, addr string) {
-		if addr == "" {
+	check := func(pointer, address string) {
+		if address == "" {
 			return
 		}
-		if _, err := netip.ParseAddrPort(addr); err != nil {
-			found = append(found, doc.At(pointer, "want IP:port, have "+strconv.Quote(addr)))
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			found = append(found, doc.At(pointer, "want IP:port, have "+strconv.Quote(address)))
 		}
 	}
 	check("/callers/listen", cfg.Callers.Listen)
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -18,7 +18,7 @@
   "callers": {"listen": "10.0.0.1:80"}, "peer": {"listen": "10.0.0.1:81", "advertise": "10.0.0.2:81"}, "admin": {"listen": "10.0.0.1:82"},
 }`
 
-// TestDefaults reads settings that name only what has no default.
+// TestDefaults parses settings that omit everything with a default.
 func TestDefaults(t *testing.T) {
 	is := is.New(t)
 	cfg, err := loader.Parse("s", []byte(minimal))
@@ -30,7 +30,7 @@
 	is.Equal(string(cfg.Log.Level), "info")
 }
 
-// TestFindings checks that all that is wrong is reported at once.
+// TestFindings checks that all errors are reported at once.
 func TestFindings(t *testing.T) {
 	src := strings.Replace(minimal, `"platform": "10.0.0.9:1"`, "\"platform\": \"nowhere\",\n  \"peers\": [\"10.0.0.3\"]", 1)
 	_, err := loader.Parse("s", []byte(src))
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestPage checks that every setting has its line in docs/SETTINGS.md.
+// TestPage checks that docs/SETTINGS.md mentions every setting.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/SETTINGS.md")
 	is.New(t).NoErr(err)
@@ -55,7 +55,7 @@
 	is.New(t).NoErr(json.Unmarshal(schema.Settings, &s))
 	check := func(name string) {
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("docs/SETTINGS.md lacks `%s`", name)
+			t.Errorf("docs/SETTINGS.md does not mention `%s`", name)
 		}
 	}
 	for name := range s.Properties {
@@ -68,7 +68,7 @@
 	}
 }
 
-// FuzzParse feeds the settings' decoder.
+// FuzzParse checks that accepted settings are complete.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(minimal))
 	f.Add([]byte("{"))
@@ -76,7 +76,7 @@
 	f.Fuzz(func(t *testing.T, src []byte) {
 		cfg, err := loader.Parse("s", src)
 		if err == nil && (cfg.Limits == nil || cfg.Host == "") {
-			t.Errorf("took %q", src)
+			t.Errorf("accepted %q", src)
 		}
 	})
 }
