--- a/builder/builder.go
+++ b/builder/builder.go
@@ -1,11 +1,11 @@
-// Package builder is the operators' library. A program of theirs declares
-// models, upstreams, pipelines, services and workspaces, and prints the
-// configuration that they review and submit:
+// Package builder is the library for operators' programs. Such a program declares models,
+// upstreams, pipelines, services and workspaces, and prints the configuration to review and
+// submit:
 //
 //	cfg := builder.Configuration{…}
 //	err := builder.Print(os.Stdout, &cfg)
 //
-// Hosts use the same package to decode and check what was submitted.
+// Hosts use the same package to decode and validate submitted configurations.
 package builder
 
 import (
@@ -22,15 +22,15 @@
 	"github.com/sardineward/sardineward/schema"
 )
 
-// HashKey returns the form in which a bearer or administration key stands in
-// files: SHA-256 in lower-case hex.
+// HashKey returns the form of a bearer or administration key in configuration and settings files:
+// SHA-256 in lower-case hex.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Range declares n upstreams of one accelerator in a data centre that hold the
-// same layers, named prefix-0 to prefix-(n-1).
+// Range returns n upstreams that differ from u only in name and address, named prefix-0 to
+// prefix-(n-1).
 func Range(prefix string, n int, address func(i int) string, u Upstream) []Upstream {
 	out := make([]Upstream, n)
 	for i := range out {
@@ -41,7 +41,7 @@
 	return out
 }
 
-// Names lists the names of upstreams, for a pipeline or a service.
+// Names returns the names of upstreams, for a pipeline or a service.
 func Names(ups []Upstream) []string {
 	out := make([]string, len(ups))
 	for i, u := range ups {
@@ -50,8 +50,8 @@
 	return out
 }
 
-// Print writes the configuration in a stable order, after checking it. The
-// error is a parser.Findings when something is wrong; nothing is written then.
+// Print validates the configuration and writes it in a stable order. The error is a
+// parser.Findings when the configuration is invalid; nothing is written then.
 func Print(w io.Writer, cfg *Configuration) error {
 	src, err := Canonical(cfg)
 	if err != nil {
@@ -67,35 +67,35 @@
 	return err
 }
 
-// Canonical is the configuration as JSON, sorted by name, so that equal
-// configurations are equal bytes.
+// Canonical returns the configuration as JSON sorted by name, so that equal configurations give
+// equal bytes.
 func Canonical(cfg *Configuration) ([]byte, error) {
 	c := *cfg
-	c.Models = sorted(c.Models, func(m Model) string { return m.Name })
-	c.Accelerators = sorted(c.Accelerators, func(a Accelerator) string { return a.Name })
-	c.Links = sorted(c.Links, func(l Link) string { return l.From + "\x00" + l.To })
-	c.Upstreams = sorted(c.Upstreams, func(u Upstream) string { return u.Name })
-	c.Pipelines = sorted(c.Pipelines, func(p Pipeline) string { return p.Name })
-	c.Services = sorted(c.Services, func(s Service) string { return s.Name })
-	c.Workspaces = sorted(c.Workspaces, func(w Workspace) string { return w.Name })
+	c.Models = sortedBy(c.Models, func(m Model) string { return m.Name })
+	c.Accelerators = sortedBy(c.Accelerators, func(a Accelerator) string { return a.Name })
+	c.Links = sortedBy(c.Links, func(l Link) string { return l.From + "\x00" + l.To })
+	c.Upstreams = sortedBy(c.Upstreams, func(u Upstream) string { return u.Name })
+	c.Pipelines = sortedBy(c.Pipelines, func(p Pipeline) string { return p.Name })
+	c.Services = sortedBy(c.Services, func(s Service) string { return s.Name })
+	c.Workspaces = sortedBy(c.Workspaces, func(w Workspace) string { return w.Name })
 	out, err := json.MarshalIndent(&c, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("printing configuration: %w", err)
+		return nil, fmt.Errorf("encoding configuration: %w", err)
 	}
 	return append(out, '\n'), nil
 }
 
-func sorted[T any](list []T, name func(T) string) []T {
+func sortedBy[T any](list []T, key func(T) string) []T {
 	if len(list) == 0 {
 		return []T{}
 	}
 	out := slices.Clone(list)
-	slices.SortStableFunc(out, func(a, b T) int { return strings.Compare(name(a), name(b)) })
+	slices.SortStableFunc(out, func(a, b T) int { return strings.Compare(key(a), key(b)) })
 	return out
 }
 
-// Parse checks and decodes a configuration that was read under the name file.
-// The error is a parser.Findings with everything that is wrong.
+// Parse validates and decodes the content of a configuration file. file names it in findings. The
+// error is a parser.Findings with everything that is wrong.
 func Parse(file string, src []byte) (*Configuration, error) {
 	doc, found := parser.Parse(file, src, schema.Configuration)
 	if len(found) > 0 {
@@ -105,7 +105,7 @@
 	if err := doc.Decode(cfg); err != nil {
 		return nil, err
 	}
-	found = check(doc, cfg)
+	found = validate(doc, cfg)
 	found.Sort()
 	if err := found.Err(); err != nil {
 		return nil, err
--- a/builder/builder_test.go
+++ b/builder/builder_test.go
@@ -14,7 +14,7 @@
 	"github.com/sardineward/sardineward/parser"
 )
 
-func small() *builder.Configuration {
+func smallConfiguration() *builder.Configuration {
 	return &builder.Configuration{
 		Models:       []builder.Model{{Name: "m", Version: "1", Layers: 8}},
 		Accelerators: []builder.Accelerator{{Name: "k", StepMs: 1, LayerMs: 1, Batch: 2}},
@@ -27,12 +27,12 @@
 	}
 }
 
-// TestPrint checks that what is printed is stable, read back the same by Parse
-// and by Decode, and sorted.
+// TestPrint checks that printed configurations are sorted, and read back the same by Parse and by
+// Decode.
 func TestPrint(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	is.NoErr(builder.Print(&out, small()))
+	is.NoErr(builder.Print(&out, smallConfiguration()))
 	parsed, err := builder.Parse("c", out.Bytes())
 	is.NoErr(err)
 	is.Equal(parsed.Upstreams[0].Name, "a")
@@ -46,8 +46,8 @@
 	is.Equal(string(again), string(src))
 }
 
-// TestFindings feeds configurations that are wrong, and checks that every
-// finding is reported at once, with its place.
+// TestFindings checks that all errors of a configuration are reported at once, each with its
+// position.
 func TestFindings(t *testing.T) {
 	for _, row := range []struct {
 		name, src string
@@ -58,11 +58,11 @@
 		{"missing parts", "{}", []string{"missing properties"}},
 		{"two at once", `{"models": [{"name": "m", "version": "1", "layers": 0}], // none
 "upstreams": [{"name": "u", "address": "nowhere", "dataCentre": "x"}], "workspaces": [{}]}`, []string{"c:1:53: models/0/layers", "c:2:"}},
-		{"names that lead nowhere", `{"models": [{"name": "m", "version": "1", "layers": 4}],
+		{"unknown names", `{"models": [{"name": "m", "version": "1", "layers": 4}],
 "upstreams": [{"name": "u", "address": "nowhere", "dataCentre": "x", "model": "n"}],
 "pipelines": [{"name": "p", "model": "m", "upstreams": ["v"]}],
 "workspaces": [{"name": "w", "pipelines": ["q"]}, {"name": "w"}]}`, []string{
-			`c:2:40: want IP:port, have "nowhere"`, `unknown model "n"`, `unknown upstream "v"`, "no upstream runs layer 0 of m", `unknown pipeline "q"`, `"w" stands twice`,
+			`c:2:40: want IP:port, have "nowhere"`, `unknown model "n"`, `unknown upstream "v"`, "no upstream runs layer 0 of m", `unknown pipeline "q"`, `"w" is declared twice`,
 		}},
 		{"a gap in the layers", `{"models": [{"name": "m", "version": "1", "layers": 8}], "accelerators": [{"name": "k", "stepMs": 1, "layerMs": 1, "batch": 1, "layers": 3}],
 "upstreams": [{"name": "a", "address": "10.0.0.1:1", "dataCentre": "x", "model": "m", "accelerator": "k", "firstLayer": 0, "lastLayer": 3},
@@ -84,9 +84,9 @@
 	}
 }
 
-// FuzzParse feeds the configuration's decoder; what it takes must print again.
+// FuzzParse checks that every accepted configuration can be printed.
 func FuzzParse(f *testing.F) {
-	src, err := builder.Canonical(small())
+	src, err := builder.Canonical(smallConfiguration())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 			return
 		}
 		if err := builder.Print(new(bytes.Buffer), cfg); err != nil {
-			t.Errorf("took %q, and can't print it: %v", src, err)
+			t.Errorf("accepted %q but failed to print it: %v", src, err)
 		}
 	})
 }
--- a/builder/decode.go
+++ b/builder/decode.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The types without their methods, which check each value on its own and read
-// it twice for that.
+// These types have no UnmarshalJSON methods. Those of the generated types validate each value
+// separately, and decode it twice for that.
 type (
 	plainModel       Model
 	plainAccelerator Accelerator
@@ -27,9 +27,9 @@
 	WeightStoreBytesPerSecond int                `json:"weightStoreBytesPerSecond"`
 }
 
-// Decode reads what Canonical printed of a configuration that was checked
-// before. Checking it on every host again would cost each, at 10,000 upstreams
-// and 12,000 changes a day, three times its whole budget.
+// Decode decodes the output of Canonical without validation. Validating it again on every host
+// would take, at 10,000 upstreams and 12,000 changes a day, three times the whole budget of a
+// host.
 func Decode(src []byte) (*Configuration, error) {
 	var p plainConfiguration
 	if err := json.Unmarshal(src, &p); err != nil {
