--- a/parser/parser.go
+++ b/parser/parser.go
@@ -1,8 +1,8 @@
-// Package parser reads JSON with comments against a JSON Schema and reports
-// everything it finds wrong at once, each with its place in the file.
+// Package parser parses JSON with comments, validates it against a JSON Schema, and reports all
+// findings at once, each with its position in the file.
 //
-// It knows nothing of what the documents mean; loader and builder add their
-// own findings through Document.At.
+// It does not interpret the documents; loader and builder add their own findings through
+// Document.At.
 package parser
 
 import (
@@ -21,29 +21,29 @@
 	"golang.org/x/text/message"
 )
 
-// Finding is one thing wrong in a file.
+// Finding is one error in a file.
 type Finding struct {
-	// File is the name the source was read under.
+	// File is the name of the file, as passed to Parse.
 	File string
-	// Line and Col count from 1, Col in bytes.
+	// Line and Col count from 1; Col counts bytes.
 	Line, Col int
-	// Text says what is wrong, in a short sentence without a full stop.
+	// Text describes the error in a short sentence without a full stop.
 	Text string
 }
 
-// Error gives the finding as file:line:col: text.
+// Error returns the finding as file:line:col: text.
 func (f Finding) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Col, f.Text)
 }
 
-// Findings is everything wrong in a file, in the order of the file.
+// Findings holds all errors of a file, in order of position.
 type Findings []Finding
 
-// Error gives one finding a line.
+// Error returns one finding per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
+	for i, finding := range f {
+		lines[i] = finding.Error()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -58,19 +58,18 @@
 
 // Document is a parsed file.
 type Document struct {
-	// File is the name the source was read under.
+	// File is the name of the file, as passed to Parse.
 	File string
-	// Standard is the source without comments and trailing commas, of the
-	// same length, so that offsets agree.
+	// Standard is the source with comments and trailing commas replaced by blanks, so that
+	// offsets are those of the source.
 	Standard []byte
 
 	src  []byte
 	root hujson.Value
 }
 
-// Parse reads src and checks it against a schema. The document is nil only
-// when src is no JSON at all; with other findings it can still be asked for
-// places.
+// Parse parses src and validates it against a schema. The document is nil only when src is not
+// syntactically valid; with other findings it can still be used with At.
 func Parse(file string, src, schema []byte) (*Document, Findings) {
 	root, err := hujson.Parse(src)
 	if err != nil {
@@ -82,14 +81,13 @@
 	return doc, doc.validate(schema)
 }
 
-// At returns a finding at a JSON pointer, or at its closest parent that is in
-// the file.
+// At returns a finding at a JSON pointer, or at the closest parent that the file contains.
 func (d *Document) At(pointer, text string) Finding {
 	line, col := d.position(pointer)
 	return Finding{File: d.File, Line: line, Col: col, Text: text}
 }
 
-// Sort orders findings by their place.
+// Sort sorts findings by position.
 func (f Findings) Sort() {
 	sort.SliceStable(f, func(i, j int) bool {
 		if f[i].Line != f[j].Line {
@@ -113,32 +111,32 @@
 		return nil
 	}
 	var found Findings
-	d.collect(invalid, &found)
+	d.collectLeaves(invalid, &found)
 	found.Sort()
 	return found
 }
 
-// collect keeps the leaves of the tree of causes; the nodes above them only
-// say that something below is wrong.
-func (d *Document) collect(e *jsonschema.ValidationError, found *Findings) {
+// collectLeaves collects the leaves of the tree of validation errors; the inner nodes only say
+// that a child is invalid.
+func (d *Document) collectLeaves(e *jsonschema.ValidationError, found *Findings) {
 	for _, cause := range e.Causes {
-		d.collect(cause, found)
+		d.collectLeaves(cause, found)
 	}
 	if len(e.Causes) > 0 {
 		return
 	}
-	at := pointerOf(e.InstanceLocation)
+	pointer := jsonPointer(e.InstanceLocation)
 	if extra, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 		for _, name := range extra.Properties {
-			*found = append(*found, d.At(at+"/"+escape(name), "unknown field "+strconv.Quote(name)))
+			*found = append(*found, d.At(pointer+"/"+escapeToken(name), "unknown field "+strconv.Quote(name)))
 		}
 		return
 	}
 	text := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	if at != "" {
-		text = at[1:] + ": " + text
+	if pointer != "" {
+		text = pointer[1:] + ": " + text
 	}
-	*found = append(*found, d.At(at, text))
+	*found = append(*found, d.At(pointer, text))
 }
 
 func (d *Document) position(pointer string) (line, col int) {
@@ -191,20 +189,20 @@
 	return line, offset - bytes.LastIndexByte(before, '\n')
 }
 
-func pointerOf(location []string) string {
+func jsonPointer(location []string) string {
 	var b strings.Builder
 	for _, token := range location {
 		b.WriteByte('/')
-		b.WriteString(escape(token))
+		b.WriteString(escapeToken(token))
 	}
 	return b.String()
 }
 
-func escape(token string) string {
+func escapeToken(token string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(token)
 }
 
-// Decode unmarshals the document; call it only when Parse found nothing.
+// Decode unmarshals the document into v. Call it only when Parse returned no findings.
 func (d *Document) Decode(v any) error {
 	if err := json.Unmarshal(d.Standard, v); err != nil {
 		return Findings{{File: d.File, Line: 1, Col: 1, Text: err.Error()}}
