--- a/cmd/sardineward/dev.go
+++ b/cmd/sardineward/dev.go
@@ -22,11 +22,11 @@
 
 func addDev(app *kingpin.Application) {
 	cmd := app.Command("dev", "Run an entry host with an embedded platform, engines and a plain service on loopback.")
-	port := cmd.Flag("port", "First port; the 20 from it on are used.").Default("8080").Int()
-	cmd.Action(func(*kingpin.ParseContext) error { return dev(*port) })
+	port := cmd.Flag("port", "First of the 20 consecutive ports that are used.").Default("8080").Int()
+	cmd.Action(func(*kingpin.ParseContext) error { return runDev(*port) })
 }
 
-func dev(port int) error {
+func runDev(port int) error {
 	address := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", port+n) }
 	cfg := devConfiguration(address)
 	w := &faker.Environment{
@@ -62,10 +62,10 @@
 	settings.Log.Console = true
 	settings.Timing.BalancerMs = 100
 	printDev(address)
-	return runHost(&runner.Host{Settings: settings, Log: logger(settings.Log)})
+	return runHost(&runner.Host{Settings: settings, Log: newLogger(settings.Log)})
 }
 
-// listen opens an address of this machine.
+// listen listens on an address of this machine.
 func listen(address string) (net.Listener, error) {
 	return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 }
--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -22,13 +22,13 @@
 
 func addDevForward(app *kingpin.Application) {
 	cmd := app.Command("dev-forward", "Run a host that forwards by a route table, with its source and upstreams on loopback.")
-	port := cmd.Flag("port", "First port; the 12 from it on are used.").Default("8180").Int()
-	cmd.Action(func(*kingpin.ParseContext) error { return devForward(*port) })
+	port := cmd.Flag("port", "First of the 12 consecutive ports that are used.").Default("8180").Int()
+	cmd.Action(func(*kingpin.ParseContext) error { return runDevForward(*port) })
 }
 
-// devForward serves a desk and streams that can be cut and resumed. Requests to
-// the control address change what the upstreams do next.
-func devForward(port int) error {
+// runDevForward runs a forwarding host with a service desk and streams that can be cut and
+// resumed. Requests to the control address inject faults into the upstreams.
+func runDevForward(port int) error {
 	address := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", port+n) }
 	source := new(faker.Directory)
 	cfg := devTable(1, devKey)
@@ -82,10 +82,10 @@
 	}
 }
 
-// devControl changes what upstreams do with the next request, and takes the key
-// away.
+// devControl returns the handler that injects faults into the next requests of upstreams, and
+// revokes the key.
 func devControl(source *faker.Directory, stages map[string]*faker.Stage) http.Handler {
-	// A request that is turned away is sent again three times.
+	// A request that is turned away is retried three times, so four faults refuse it for good.
 	full := slices.Repeat([]faker.StageFault{faker.StageFaultOverloaded}, 4)
 	troubles := map[string][]faker.StageFault{"/cut": {faker.StageFaultBrokenStream}, "/reset": {faker.StageFaultReset}, "/full": full}
 	mux := http.NewServeMux()
@@ -101,15 +101,15 @@
 }
 
 func printDevForward(address func(int) string) {
-	fmt.Printf(`callers %[1]s, readiness %[2]s, metrics %[3]s, control of the stand-ins %[4]s
+	fmt.Printf(`callers %[1]s, readiness %[2]s, metrics %[3]s, control of the upstreams %[4]s
 
 curl -i -H 'Attempt-Id: 1' -H 'Authorization: Bearer %[5]s' http://%[1]s/lots/12
 curl -i -H 'Attempt-Id: 2' -H 'Authorization: Bearer %[5]s' http://%[1]s/bookings/ -d 'lot 12'
 curl -N -H 'Attempt-Id: 3' -H 'Authorization: Bearer %[5]s' http://%[1]s/stream/ -d 'Summarise lot 12.'
-curl http://%[4]s/cut      # the next stream breaks off in its third event, and goes on elsewhere
-curl http://%[4]s/reset    # the next booking loses its answer: 502, never sent again
+curl http://%[4]s/cut      # the next stream breaks off in its third event and resumes on another upstream
+curl http://%[4]s/reset    # the answer to the next booking is lost: 502, never retried
 curl http://%[4]s/full     # the next requests are turned away as not run: 503 with Retry-After
-curl http://%[4]s/revoke   # the key is taken away: 401 within a second
+curl http://%[4]s/revoke   # the key is revoked: 401 within a second
 curl http://%[3]s/metrics
 
 `, address(0), address(1), address(3), address(4), devKey)
--- a/cmd/sardineward/explain.go
+++ b/cmd/sardineward/explain.go
@@ -13,24 +13,24 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// logLine is a line of a host's log about a request.
+// logLine is a line of a host's log that belongs to a request.
 type logLine struct {
 	Time      string `json:"time"`
 	RequestID string `json:"requestId"`
 	Message   string `json:"message"`
-	// File is where it was read.
+	// File is the log that the line comes from.
 	File string `json:"-"`
-	// Rest are its other fields as they stand.
+	// Rest holds the other fields as JSON.
 	Rest string `json:"-"`
 }
 
-// longestLine bounds a line of a log, in bytes.
-const longestLine = 1 << 20
+// maxLogLineBytes bounds the length of a log line.
+const maxLogLineBytes = 1 << 20
 
 func addExplain(app *kingpin.Application) {
-	cmd := app.Command("explain", "Print the way of a request through logs of hosts, in order of time.")
+	cmd := app.Command("explain", "Print all log lines of a request from the logs of several hosts, in order of time.")
 	id := cmd.Arg("id", "Request id.").Required().String()
-	files := cmd.Arg("files", "Logs, one a host; - is standard input.").Required().Strings()
+	files := cmd.Arg("files", "Logs, one per host; - is standard input.").Required().Strings()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		var all []logLine
 		for _, name := range *files {
@@ -41,7 +41,7 @@
 			all = append(all, lines...)
 		}
 		if len(all) == 0 {
-			return fmt.Errorf("no line about request %q", *id)
+			return fmt.Errorf("no log line has request id %q", *id)
 		}
 		printLines(os.Stdout, all)
 		return nil
@@ -50,32 +50,31 @@
 
 func readLog(name, id string) ([]logLine, error) {
 	if name == "-" {
-		return linesOf(os.Stdin, "stdin", id)
+		return filterLines(os.Stdin, "stdin", id)
 	}
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("reading log: %w", err)
 	}
 	defer f.Close()
-	return linesOf(f, name, id)
+	return filterLines(f, name, id)
 }
 
-// linesOf picks the lines about a request. What stands before the JSON of a line,
-// such as the prefix of a log collector, is passed over, and so are lines that
-// are no JSON.
-func linesOf(r io.Reader, file, id string) ([]logLine, error) {
+// filterLines returns the lines of a request. It skips text before the JSON of a line, such as
+// the prefix of a log collector, and lines without JSON.
+func filterLines(r io.Reader, file, id string) ([]logLine, error) {
 	var out []logLine
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, longestLine)
+	sc.Buffer(nil, maxLogLineBytes)
 	for sc.Scan() {
 		text := sc.Text()
-		at := strings.IndexByte(text, '{')
-		if at < 0 || !strings.Contains(text, id) {
+		jsonStart := strings.IndexByte(text, '{')
+		if jsonStart < 0 || !strings.Contains(text, id) {
 			continue
 		}
 		l := logLine{File: file}
 		rest := make(map[string]any)
-		if json.Unmarshal([]byte(text[at:]), &l) != nil || json.Unmarshal([]byte(text[at:]), &rest) != nil || l.RequestID != id {
+		if json.Unmarshal([]byte(text[jsonStart:]), &l) != nil || json.Unmarshal([]byte(text[jsonStart:]), &rest) != nil || l.RequestID != id {
 			continue
 		}
 		for _, name := range []string{"time", "requestId", "message", "level"} {
--- a/cmd/sardineward/explain_test.go
+++ b/cmd/sardineward/explain_test.go
@@ -15,7 +15,7 @@
 
 func TestExplain(t *testing.T) {
 	is := is.New(t)
-	lines, err := linesOf(strings.NewReader(hostLog), "host-a", "r1")
+	lines, err := filterLines(strings.NewReader(hostLog), "host-a", "r1")
 	is.NoErr(err)
 	var out strings.Builder
 	printLines(&out, lines)
--- a/cmd/sardineward/forward.go
+++ b/cmd/sardineward/forward.go
@@ -17,8 +17,7 @@
 )
 
 const (
-	// storeTimeout bounds a call on the platform's store: two hundred times
-	// the usual.
+	// storeTimeout bounds a call to the platform's store: two hundred times the usual duration.
 	storeTimeout = 800 * time.Millisecond
 )
 
@@ -28,13 +27,13 @@
 	cmd.Action(func(*kingpin.ParseContext) error {
 		cfg, err := loader.LoadForward(*file)
 		if err != nil {
-			return findings(err)
+			return withExitCode(err)
 		}
-		return forward(cfg)
+		return runForward(cfg)
 	})
 }
 
-func forward(cfg *loader.Forward) error {
+func runForward(cfg *loader.Forward) error {
 	out := &boundedLog{Out: os.Stdout, Level: string(cfg.LogLevel)}
 	log := out.Start()
 	defer out.Close()
@@ -57,15 +56,14 @@
 	return h.Run(ctx)
 }
 
-// bootTime is the time since the machine started. Unlike the monotonic clock of
-// the standard library it goes on while the machine is suspended, during which
-// leases lapse and keys are taken away.
+// bootTime returns the time since the machine started. Unlike the monotonic clock of the standard
+// library it includes time in suspension, during which leases expire and keys are revoked.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Since(started)
+		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
 }
 
-var started = time.Now()
+var processStart = time.Now()
--- a/cmd/sardineward/log.go
+++ b/cmd/sardineward/log.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// logLines is how many lines wait for a reader of the output.
-	logLines = 4096
-	// logPoll is the time between two looks for lines to write.
-	logPoll = 20 * time.Millisecond
-	// logBurst is how many lines below warnings are written in a second: what
-	// some hundred refusals a second and their attempts come to.
-	logBurst = 1000
-	// logClose bounds how long Close waits for lines to be written.
-	logClose = time.Second
+	// maxQueuedLines is the number of lines that may wait for the output.
+	maxQueuedLines = 4096
+	// logPollInterval is the time between two checks for lines to write.
+	logPollInterval = 20 * time.Millisecond
+	// maxLinesPerSecond bounds the lines below level warn per second. It fits about a hundred
+	// refusals a second with their attempts.
+	maxLinesPerSecond = 1000
+	// logCloseTimeout bounds how long Close waits for lines to be written.
+	logCloseTimeout = time.Second
 )
 
-// boundedLog writes lines without ever waiting for their reader: a request must
-// not wait for a log. What is too much is dropped and counted. The fields are set
-// before Start.
+// boundedLog is a log that never blocks its callers, since a request must not wait for the reader
+// of a log. Excess lines are dropped and counted. The exported fields are set before Start.
 type boundedLog struct {
 	Out io.Writer
-	// Level is the lowest that is written; empty and unknown names mean info.
+	// Level is the lowest level that is written; empty and unknown names mean info.
 	Level string
 
 	w       diode.Writer
 	dropped atomic.Int64
-	// accepted lines were logged; each is written, or overrun by later ones.
+	// accepted counts the lines that were logged. Each of them is written, or overrun by later
+	// ones.
 	accepted, written, overrun atomic.Int64
 }
 
-// counted counts the lines that pass to a writer, once they have.
-type counted struct {
+// countingWriter counts the lines written to a writer, after each write.
+type countingWriter struct {
 	io.Writer
 	n *atomic.Int64
 }
 
-func (c counted) Write(line []byte) (int, error) {
+func (c countingWriter) Write(line []byte) (int, error) {
 	defer c.n.Add(1)
 	return c.Writer.Write(line)
 }
 
 // Start returns the logger.
 func (l *boundedLog) Start() zerolog.Logger {
-	l.w = diode.NewWriter(counted{l.Out, &l.written}, logLines, logPoll, func(missed int) {
+	l.w = diode.NewWriter(countingWriter{l.Out, &l.written}, maxQueuedLines, logPollInterval, func(missed int) {
 		l.dropped.Add(int64(missed))
 		l.overrun.Add(int64(missed))
 	})
@@ -58,25 +58,25 @@
 		level = zerolog.InfoLevel
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	burst := &zerolog.BurstSampler{Burst: logBurst, Period: time.Second, NextSampler: l}
+	burst := &zerolog.BurstSampler{Burst: maxLinesPerSecond, Period: time.Second, NextSampler: l}
 	sampler := zerolog.LevelSampler{DebugSampler: burst, InfoSampler: burst}
-	return zerolog.New(counted{l.w, &l.accepted}).Level(level).Sample(sampler).With().Timestamp().Logger()
+	return zerolog.New(countingWriter{l.w, &l.accepted}).Level(level).Sample(sampler).With().Timestamp().Logger()
 }
 
-// Sample implements zerolog.Sampler for lines beyond the burst.
+// Sample implements zerolog.Sampler. It drops and counts the lines beyond the rate limit.
 func (l *boundedLog) Sample(zerolog.Level) bool {
 	l.dropped.Add(1)
 	return false
 }
 
-// Dropped is how many lines were not written.
+// Dropped returns the number of lines that were not written.
 func (l *boundedLog) Dropped() float64 { return float64(l.dropped.Load()) }
 
-// Close writes what waits, and tells how much was dropped. The writer alone would lose
-// lines that come right before it is closed, such as why a host ends.
+// Close writes the waiting lines and reports how many were dropped. Closing the writer alone
+// would lose the last lines, such as the reason why a host ends.
 func (l *boundedLog) Close() {
-	for end := time.Now().Add(logClose); l.written.Load()+l.overrun.Load() < l.accepted.Load() && time.Now().Before(end); {
-		time.Sleep(logPoll / 4)
+	for end := time.Now().Add(logCloseTimeout); l.written.Load()+l.overrun.Load() < l.accepted.Load() && time.Now().Before(end); {
+		time.Sleep(logPollInterval / 4)
 	}
 	err := l.w.Close()
 	if n := l.dropped.Load(); n > 0 || err != nil {
--- a/cmd/sardineward/log_test.go
+++ b/cmd/sardineward/log_test.go
@@ -9,35 +9,35 @@
 	"github.com/matryer/is"
 )
 
-// stuck is an output whose reader stopped reading.
-type stuck struct{ until chan struct{} }
+// stalledWriter is an output that blocks each write until unblock is closed.
+type stalledWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
-	<-s.until
+func (s stalledWriter) Write(b []byte) (int, error) {
+	<-s.unblock
 	return len(b), nil
 }
 
-// TestStuckReader. The collector of the logs hangs. Requests write lines all the
-// same and none of them waits; what can't be kept is counted.
-func TestStuckReader(t *testing.T) {
+// TestStalledLogReader guards against requests that wait for a log whose reader hangs. Lines that
+// can't be kept are counted.
+func TestStalledLogReader(t *testing.T) {
 	is := is.New(t)
-	out := stuck{make(chan struct{})}
+	out := stalledWriter{make(chan struct{})}
 	l := &boundedLog{Out: out, Level: "info"}
 	log := l.Start()
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
-			for range 2 * logLines {
+			for range 2 * maxQueuedLines {
 				log.Warn().Str("requestId", "r1").Msg("forwarder: refused")
 			}
 		})
 	}
 	wg.Wait()
-	for range 2 * logBurst {
+	for range 2 * maxLinesPerSecond {
 		log.Info().Msg("forwarder: refused")
 	}
-	is.True(l.Dropped() >= logBurst)
-	close(out.until)
+	is.True(l.Dropped() >= maxLinesPerSecond)
+	close(out.unblock)
 	l.Close()
 }
 
@@ -55,7 +55,7 @@
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// TestLogLevelEmpty guards against a host that logs nothing since no level was set.
+// TestLogLevelEmpty guards against a host that logs nothing because its level is not set.
 func TestLogLevelEmpty(t *testing.T) {
 	out := new(bytes.Buffer)
 	l := &boundedLog{Out: out}
--- a/cmd/sardineward/main.go
+++ b/cmd/sardineward/main.go
@@ -1,4 +1,4 @@
-// Command sardineward runs an entry host and drives a set of them.
+// Command sardineward runs an entry host, and administers a set of them.
 package main
 
 import (
@@ -10,24 +10,24 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Exit codes; docs/OPERATIONS.md lists them.
+// Exit codes, as listed in docs/OPERATIONS.md.
 const (
 	exitFailed = 1
-	// exitFindings: a file is wrong; every finding was printed.
+	// exitFindings means that a file is invalid; every finding was printed.
 	exitFindings = 2
-	// exitConflict: another submission came first.
+	// exitConflict means that another submission came first.
 	exitConflict = 3
-	// exitCut: a stop cut off requests.
-	exitCut = 4
+	// exitRequestsCut means that a stop cut off requests.
+	exitRequestsCut = 4
 )
 
-// exit is an error with an exit code of its own.
-type exit struct {
+// exitError is an error with its own exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (e *exit) Error() string { return e.err.Error() }
+func (e *exitError) Error() string { return e.err.Error() }
 
 func main() {
 	app := kingpin.New("sardineward", "A router for model pipelines and plain services over mixed accelerators.")
@@ -41,12 +41,12 @@
 	addDev(app)
 	if _, err := app.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(codeOf(err))
+		os.Exit(exitCode(err))
 	}
 }
 
-func codeOf(err error) int {
-	var e *exit
+func exitCode(err error) int {
+	var e *exitError
 	if errors.As(err, &e) {
 		return e.code
 	}
--- a/cmd/sardineward/operate.go
+++ b/cmd/sardineward/operate.go
@@ -20,23 +20,23 @@
 	"github.com/sardineward/sardineward/runner"
 )
 
-// callTimeout is above the time a host gives a submission.
+// callTimeout exceeds the 30 seconds that a host gives a submission.
 const callTimeout = 35 * time.Second
 
-// operator speaks to the administration address of a host.
-type operator struct {
+// adminClient calls the administration address of a host.
+type adminClient struct {
 	admin string
 	key   string
 }
 
-func (o *operator) flags(cmd *kingpin.CmdClause) {
+func (o *adminClient) addFlags(cmd *kingpin.CmdClause) {
 	cmd.Flag("admin", "Administration address of any host.").Default("127.0.0.1:8082").Envar("SARDINEWARD_ADMIN").StringVar(&o.admin)
 	cmd.Flag("key", "Administration key.").Envar("SARDINEWARD_ADMIN_KEY").StringVar(&o.key)
 }
 
-// call returns the status and decodes the answer into out.
-func (o *operator) call(method, path string, in, out any) (int, error) {
-	const most = 64 << 20
+// call sends in as JSON, decodes the answer into out, and returns the status.
+func (o *adminClient) call(method, path string, in, out any) (int, error) {
+	const maxAnswerBytes = 64 << 20
 	var body bytes.Buffer
 	if in != nil {
 		if err := json.NewEncoder(&body).Encode(in); err != nil {
@@ -55,7 +55,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	src, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	src, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, err
 	}
@@ -72,14 +72,14 @@
 }
 
 func addSubmit(app *kingpin.Application) {
-	o := new(operator)
-	cmd := app.Command("submit", "Show what a configuration changes, and put it in force.")
-	o.flags(cmd)
+	o := new(adminClient)
+	cmd := app.Command("submit", "Show what a configuration changes, and submit it with --yes.")
+	o.addFlags(cmd)
 	file := cmd.Arg("file", "Configuration.").Required().String()
-	base := cmd.Flag("base", "Revision that you reviewed; 0 for the first.").Required().Int64()
-	yes := cmd.Flag("yes", "Submit; without it only the difference is shown.").Bool()
-	by := cmd.Flag("by", "Who submits.").Default(os.Getenv("USER")).String()
-	id := cmd.Flag("id", "Id of the submission, to try again with; drawn when absent.").String()
+	base := cmd.Flag("base", "Revision that you reviewed; 0 means that there is none yet.").Required().Int64()
+	yes := cmd.Flag("yes", "Submit the configuration; without this flag only the difference is shown.").Bool()
+	by := cmd.Flag("by", "Name of the submitter.").Default(os.Getenv("USER")).String()
+	id := cmd.Flag("id", "Id of the submission, for a retry; random when absent.").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		src, err := os.ReadFile(*file)
 		if err != nil {
@@ -87,9 +87,9 @@
 		}
 		cfg, err := builder.Parse(*file, src)
 		if err != nil {
-			return findings(err)
+			return withExitCode(err)
 		}
-		if err := o.showDifference(cfg); err != nil {
+		if err := o.printDifference(cfg); err != nil {
 			return err
 		}
 		if !*yes {
@@ -103,14 +103,14 @@
 	})
 }
 
-func (o *operator) submit(in runner.SubmitBody) error {
+func (o *adminClient) submit(in runner.SubmitBody) error {
 	var out runner.SubmitAnswer
 	status, err := o.call(http.MethodPost, "/admin/v1/submit", in, &out)
 	switch {
 	case err != nil:
 		return fmt.Errorf("submission %s is not settled, submit again with --id %s: %w", in.ID, in.ID, err)
 	case status == http.StatusConflict:
-		return &exit{exitConflict, errors.New(out.Error)}
+		return &exitError{exitConflict, errors.New(out.Error)}
 	case status == http.StatusServiceUnavailable:
 		return fmt.Errorf("submission %s is not settled, submit again with --id %s: %s", in.ID, in.ID, out.Error)
 	case status != http.StatusOK:
@@ -120,8 +120,9 @@
 	return nil
 }
 
-// showDifference prints the lines that a configuration takes away and adds.
-func (o *operator) showDifference(cfg *builder.Configuration) error {
+// printDifference prints the lines that a configuration removes from and adds to the one in
+// force.
+func (o *adminClient) printDifference(cfg *builder.Configuration) error {
 	var now json.RawMessage
 	status, err := o.call(http.MethodGet, "/admin/v1/configuration", nil, &now)
 	if err != nil {
@@ -134,20 +135,20 @@
 	if err != nil {
 		return err
 	}
-	minus, plus := lineDifference(string(now), string(next))
-	for _, l := range minus {
+	removed, added := lineDifference(string(now), string(next))
+	for _, l := range removed {
 		fmt.Println("- " + l)
 	}
-	for _, l := range plus {
+	for _, l := range added {
 		fmt.Println("+ " + l)
 	}
-	fmt.Printf("%d lines taken away, %d added\n", len(minus), len(plus))
+	fmt.Printf("%d lines removed, %d added\n", len(removed), len(added))
 	return nil
 }
 
-// lineDifference compares two texts as bags of lines: in a text sorted by name
-// that shows what changed, and not that the rest moved.
-func lineDifference(a, b string) (minus, plus []string) {
+// lineDifference compares two texts as multisets of lines. In a text sorted by name this shows
+// what changed, without the lines that only moved.
+func lineDifference(a, b string) (removed, added []string) {
 	count := make(map[string]int)
 	for _, l := range strings.Split(strings.TrimSpace(a), "\n") {
 		count[l]++
@@ -157,21 +158,21 @@
 			count[l]--
 			continue
 		}
-		plus = append(plus, l)
+		added = append(added, l)
 	}
 	for _, l := range strings.Split(strings.TrimSpace(a), "\n") {
 		if count[l] > 0 {
 			count[l]--
-			minus = append(minus, l)
+			removed = append(removed, l)
 		}
 	}
-	return minus, plus
+	return removed, added
 }
 
 func addStatus(app *kingpin.Application) {
-	o := new(operator)
+	o := new(adminClient)
 	cmd := app.Command("status", "Show hosts, revisions, upstreams and queues.")
-	o.flags(cmd)
+	o.addFlags(cmd)
 	raw := cmd.Flag("json", "Print JSON.").Bool()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		var st runner.Status
@@ -215,9 +216,9 @@
 }
 
 func addDrain(app *kingpin.Application) {
-	o := new(operator)
+	o := new(adminClient)
 	cmd := app.Command("drain", "Keep new work off an upstream until it is restarted. A host is drained by SIGTERM.")
-	o.flags(cmd)
+	o.addFlags(cmd)
 	name := cmd.Arg("upstream", "Name of the upstream.").Required().String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		var out runner.SubmitAnswer
--- a/cmd/sardineward/run.go
+++ b/cmd/sardineward/run.go
@@ -25,34 +25,33 @@
 	cmd.Action(func(*kingpin.ParseContext) error {
 		cfg, err := loader.Load(*file)
 		if err != nil {
-			return findings(err)
+			return withExitCode(err)
 		}
-		return runHost(&runner.Host{Settings: cfg, Log: logger(cfg.Log)})
+		return runHost(&runner.Host{Settings: cfg, Log: newLogger(cfg.Log)})
 	})
 }
 
-// runHost runs until the first signal, and cuts the graceful stop short at the
-// second.
+// runHost runs a host until the first signal, and cuts the graceful stop short at the second.
 func runHost(h *runner.Host) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	cut := make(chan struct{})
+	cutOff := make(chan struct{})
 	go func() {
 		<-signals
 		stop()
 		<-signals
-		close(cut)
+		close(cutOff)
 	}()
-	err := h.Run(ctx, cut)
+	err := h.Run(ctx, cutOff)
 	if err != nil && ctx.Err() != nil {
-		return &exit{exitCut, err}
+		return &exitError{exitRequestsCut, err}
 	}
 	return err
 }
 
-func logger(cfg *loader.Log) zerolog.Logger {
+func newLogger(cfg *loader.Log) zerolog.Logger {
 	var w io.Writer = os.Stderr
 	if cfg.Console {
 		w = zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.TimeOnly}
@@ -66,13 +65,13 @@
 }
 
 func addCheck(app *kingpin.Application) {
-	cmd := app.Command("check", "Print everything that is wrong in a configuration or in settings.")
+	cmd := app.Command("check", "Print all errors in a configuration or in settings.")
 	file := cmd.Arg("file", "Configuration, or settings with --settings.").Required().String()
-	settings := cmd.Flag("settings", "The file is settings of a host.").Bool()
+	settings := cmd.Flag("settings", "The file holds the settings of a host.").Bool()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		if *settings {
 			_, err := loader.Load(*file)
-			return findings(err)
+			return withExitCode(err)
 		}
 		src, err := os.ReadFile(*file)
 		if err != nil {
@@ -80,19 +79,20 @@
 		}
 		cfg, err := builder.Parse(*file, src)
 		if err != nil {
-			return findings(err)
+			return withExitCode(err)
 		}
-		fmt.Printf("%d upstreams, %d pipelines, %d services, %d workspaces: nothing wrong\n",
+		fmt.Printf("%d upstreams, %d pipelines, %d services, %d workspaces: no errors\n",
 			len(cfg.Upstreams), len(cfg.Pipelines), len(cfg.Services), len(cfg.Workspaces))
 		return nil
 	})
 }
 
-// findings gives wrong files their exit code.
-func findings(err error) error {
+// withExitCode adds the exit code of invalid files to findings. Other errors are returned
+// unchanged.
+func withExitCode(err error) error {
 	var found parser.Findings
 	if errors.As(err, &found) {
-		return &exit{exitFindings, found}
+		return &exitError{exitFindings, found}
 	}
 	return err
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,4 @@
-// Command soak plays randomized runs of the real program under faults.
+// Command soak runs the real program in randomized runs with fault injection.
 package main
 
 import (
@@ -17,57 +17,57 @@
 	"github.com/sardineward/sardineward/soaker"
 )
 
-// mostBroken is how many broken promises of one seed are printed.
-const mostBroken = 6
+// maxViolationsPrinted bounds the violations that are printed for one seed.
+const maxViolationsPrinted = 6
 
 func main() {
-	app := kingpin.New("soak", "Runs the program as separate processes, harms them from outside, and checks what callers and upstreams see.")
+	app := kingpin.New("soak", "Runs the program as separate processes, injects faults from outside, and checks what callers and upstreams observe.")
 	binary := app.Flag("binary", "The program, built by `go build ./cmd/sardineward`.").Required().ExistingFile()
-	dir := app.Flag("dir", "Where settings and logs of each seed go.").Default(filepath.Join(os.TempDir(), "soak")).String()
+	dir := app.Flag("dir", "Directory for the settings and logs of each seed.").Default(filepath.Join(os.TempDir(), "soak")).String()
 	first := app.Flag("seed", "First seed.").Default("1").Uint64()
-	seeds := app.Flag("seeds", "How many seeds, counted up.").Default("1").Int()
-	jobs := app.Flag("jobs", "How many seeds at a time.").Default("2").Int()
-	length := app.Flag("length", "How long faults come.").Default("15s").Duration()
-	hosts := app.Flag("hosts", "Processes of the program.").Default("4").Int()
-	callers := app.Flag("callers", "Requests at a time.").Default("32").Int()
+	seeds := app.Flag("seeds", "Number of consecutive seeds.").Default("1").Int()
+	jobs := app.Flag("jobs", "Number of seeds that run at a time.").Default("2").Int()
+	length := app.Flag("length", "Duration of fault injection.").Default("15s").Duration()
+	hosts := app.Flag("hosts", "Number of processes of the program.").Default("4").Int()
+	callers := app.Flag("callers", "Number of concurrent requests.").Default("32").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
-	red := playAll(*seeds, *jobs, func(n int) bool {
-		return ctx.Err() != nil || play(ctx, *binary, *dir, *first+uint64(n), *length, *hosts, *callers)
+	failed := runSeeds(*seeds, *jobs, func(n int) bool {
+		return ctx.Err() != nil || playSeed(ctx, *binary, *dir, *first+uint64(n), *length, *hosts, *callers)
 	})
 	if ctx.Err() != nil {
 		fmt.Println("ended early")
-		red++
+		failed++
 	}
 	stop()
-	fmt.Printf("%d seeds, %d red\n", *seeds, red)
-	if red > 0 {
+	fmt.Printf("%d seeds, %d failed\n", *seeds, failed)
+	if failed > 0 {
 		os.Exit(1)
 	}
 }
 
-// playAll plays runs, some at a time, and returns how many found something.
-func playAll(runs, jobs int, one func(n int) bool) (red int) {
-	gate := make(chan struct{}, jobs)
+// runSeeds runs all seeds, up to jobs of them at a time, and returns how many failed.
+func runSeeds(seeds, jobs int, runSeed func(n int) bool) (failed int) {
+	slots := make(chan struct{}, jobs)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for n := range runs {
-		gate <- struct{}{}
+	for n := range seeds {
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-gate }()
-			ok := one(n)
+			defer func() { <-slots }()
+			ok := runSeed(n)
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
-				red++
+				failed++
 			}
 		})
 	}
 	wg.Wait()
-	return red
+	return failed
 }
 
-func play(ctx context.Context, binary, dir string, seed uint64, length time.Duration, hosts, callers int) bool {
+func playSeed(ctx context.Context, binary, dir string, seed uint64, length time.Duration, hosts, callers int) bool {
 	dir = filepath.Join(dir, fmt.Sprint(seed))
 	if err := os.RemoveAll(dir); err != nil {
 		fmt.Println(err)
@@ -89,10 +89,10 @@
 		fmt.Printf("seed %d: %v\n", seed, err)
 		return false
 	}
-	fmt.Printf("seed %d: %d requests, %d answered; in calm times %d, %d; %d faults, %d broken\n",
+	fmt.Printf("seed %d: %d requests, %d answered; without faults: %d requests, %d answered; %d faults, %d violations\n",
 		seed, report.Calls, report.Answered, report.Undisturbed, report.UndisturbedAnswered, len(report.Faults), len(report.Violations))
 	for n, text := range report.Violations {
-		if n == mostBroken {
+		if n == maxViolationsPrinted {
 			fmt.Println("  …")
 			break
 		}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin serves what the system meets outside, on loopback: the
-// platform's key-value service, its list of hosts, and every upstream of a
-// configuration. It is for trying things out; nothing lasts.
+// Command standin serves the external dependencies of the system on loopback: the platform's
+// key-value service, its list of hosts, and every upstream of a configuration. It is for local
+// trials; all state is lost when it ends.
 package main
 
 import (
@@ -19,12 +19,12 @@
 )
 
 func main() {
-	app := kingpin.New("standin", "Stand-ins for the platform and the upstreams of a configuration.")
+	app := kingpin.New("standin", "Test doubles of the platform and of the upstreams of a configuration.")
 	file := app.Flag("configuration", "Configuration whose upstreams are served.").Short('c').Required().String()
 	platform := app.Flag("platform", "Address of the key-value service.").Default("127.0.0.1:20000").String()
 	hosts := app.Flag("host-list", "Address of the list of hosts.").Default("127.0.0.1:20001").String()
-	control := app.Flag("control", "Address where faults are asked for.").Default("127.0.0.1:20002").String()
-	lag := app.Flag("lag", "How late engines report load and the list shows changes.").Default("1s").Duration()
+	control := app.Flag("control", "Address that accepts requests for faults.").Default("127.0.0.1:20002").String()
+	lag := app.Flag("lag", "Delay of engines' load reports and of changes in the list of hosts.").Default("1s").Duration()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(*file, *platform, *hosts, *control, *lag); err != nil {
 		fmt.Fprintln(os.Stderr, err)
