--- a/examples/bensalah/main.go
+++ b/examples/bensalah/main.go
@@ -1,6 +1,6 @@
-// Command bensalah prints the configuration of a pallet repairer: three data
-// centres, 42 runners of mixed accelerators spread over them, a stock desk of
-// one instance in each, and 10 workspaces.
+// Command bensalah prints the configuration of a pallet repairer: three data centres, 42 engines
+// on mixed accelerators spread over them, a stock service with one instance in each, and 10
+// workspaces.
 package main
 
 import (
@@ -32,26 +32,26 @@
 		},
 		Workspaces: workspaces(),
 	}
-	var runners, desk []builder.Upstream
+	var engineUpstreams, desk []builder.Upstream
 	for n, dc := range []string{"sfax-north", "sousse-port", "monastir-road"} {
-		next := 22000 + 100*n
+		port := 22000 + 100*n
 		address := func(int) string {
-			next++
-			return fmt.Sprintf("127.0.0.1:%d", next)
+			port++
+			return fmt.Sprintf("127.0.0.1:%d", port)
 		}
-		engines := func(prefix, kind string, count, first, last int) {
+		addEngines := func(prefix, kind string, count, first, last int) {
 			u := builder.Upstream{DataCentre: dc, Model: "olive-30b", Accelerator: kind, FirstLayer: first, LastLayer: last}
-			runners = append(runners, builder.Range(dc+"-"+prefix, count, address, u)...)
+			engineUpstreams = append(engineUpstreams, builder.Range(dc+"-"+prefix, count, address, u)...)
 		}
-		engines("front", "large", 4, 0, 23)
-		engines("back", "large", 4, 24, 47)
-		engines("first", "small", 2, 0, 15)
-		engines("middle", "small", 2, 16, 31)
-		engines("last", "small", 2, 32, 47)
+		addEngines("front", "large", 4, 0, 23)
+		addEngines("back", "large", 4, 24, 47)
+		addEngines("first", "small", 2, 0, 15)
+		addEngines("middle", "small", 2, 16, 31)
+		addEngines("last", "small", 2, 32, 47)
 		desk = append(desk, builder.Range(dc+"-desk", 1, address, builder.Upstream{DataCentre: dc})...)
 	}
-	cfg.Upstreams = slices.Concat(runners, desk)
-	cfg.Pipelines = []builder.Pipeline{{Name: "assessments", Model: "olive-30b", Upstreams: builder.Names(runners), TokenGapMs: 48}}
+	cfg.Upstreams = slices.Concat(engineUpstreams, desk)
+	cfg.Pipelines = []builder.Pipeline{{Name: "assessments", Model: "olive-30b", Upstreams: builder.Names(engineUpstreams), TokenGapMs: 48}}
 	cfg.Services = []builder.Service{{Name: "stock", Upstreams: builder.Names(desk), Calls: []builder.Call{
 		{Method: "POST", Path: "/releases", KeyPointer: "/releaseId"},
 		{Method: "POST", Path: "/checks", Idempotent: true},
--- a/examples/haneul/main.go
+++ b/examples/haneul/main.go
@@ -1,6 +1,6 @@
-// Command haneul prints the configuration of a spot desk: one data centre, a
-// model service of 40 runners of mixed accelerators, an application desk of 3,
-// and 10 workspaces of which two are large.
+// Command haneul prints the configuration of a spot market desk: one data centre, a model service
+// of 40 engines on mixed accelerators, an application service of 3 instances, and 10 workspaces
+// of which two have a higher rate limit.
 package main
 
 import (
@@ -20,10 +20,10 @@
 }
 
 func configuration() *builder.Configuration {
-	next := 21000
+	port := 21000
 	address := func(int) string {
-		next++
-		return fmt.Sprintf("127.0.0.1:%d", next)
+		port++
+		return fmt.Sprintf("127.0.0.1:%d", port)
 	}
 	engine := func(kind string, first, last int) builder.Upstream {
 		return builder.Upstream{DataCentre: dataCentre, Model: "barley-70b", Accelerator: kind, FirstLayer: first, LastLayer: last, ChecksFence: true}
@@ -34,15 +34,15 @@
 	small = append(small, builder.Range("late", 4, address, engine("small", 40, 59))...)
 	small = append(small, builder.Range("lateB", 4, address, engine("small", 60, 79))...)
 	desk := builder.Range("desk", 3, address, builder.Upstream{DataCentre: dataCentre})
-	runners := append(append(front, back...), small...)
+	engines := append(append(front, back...), small...)
 	return &builder.Configuration{
 		Models: []builder.Model{{Name: "barley-70b", Version: "1", Layers: 80, LayerBytes: 1 << 20}},
 		Accelerators: []builder.Accelerator{
 			{Name: "large", StepMs: 2, LayerMs: 0.01, Batch: 16, Layers: 40},
 			{Name: "small", StepMs: 3, LayerMs: 0.03, Batch: 8, Layers: 20},
 		},
-		Upstreams: append(runners, desk...),
-		Pipelines: []builder.Pipeline{{Name: "quotes", Model: "barley-70b", Upstreams: builder.Names(runners), TokenGapMs: 48}},
+		Upstreams: append(engines, desk...),
+		Pipelines: []builder.Pipeline{{Name: "quotes", Model: "barley-70b", Upstreams: builder.Names(engines), TokenGapMs: 48}},
 		Services: []builder.Service{{Name: "desk", Upstreams: builder.Names(desk), Calls: []builder.Call{
 			{Method: "POST", Path: "/bookings", KeyPointer: "/bookingId"},
 			{Method: "POST", Path: "/lots/search", Idempotent: true},
