--- a/cmd/sardineward/operate.go
+++ b/cmd/sardineward/operate.go
@@ -99,11 +99,11 @@
 		if *id == "" {
 			*id = rand.Text()
 		}
-		return o.submit(runner.SubmitBody{Base: *base, ID: *id, By: *by, Configuration: string(src)})
+		return o.submit(runner.SubmitRequest{Base: *base, ID: *id, By: *by, Configuration: string(src)})
 	})
 }
 
-func (o *adminClient) submit(in runner.SubmitBody) error {
+func (o *adminClient) submit(in runner.SubmitRequest) error {
 	var out runner.SubmitAnswer
 	status, err := o.call(http.MethodPost, "/admin/v1/submit", in, &out)
 	switch {
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -90,8 +90,8 @@
 	Up       float64 `json:"up"`
 }
 
-// SubmitBody is the body of a request to submit a configuration.
-type SubmitBody struct {
+// SubmitRequest is the body of a request to submit a configuration.
+type SubmitRequest struct {
 	// Base is the revision that the operator reviewed; 0 means that there is none yet.
 	Base int64 `json:"base"`
 	// ID identifies the submission; every retry of one submission has the same ID.
@@ -164,7 +164,7 @@
 
 func (h *Host) submit(c echo.Context) error {
 	const maxBodyBytes = 64 << 20
-	var in SubmitBody
+	var in SubmitRequest
 	dec := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&in); err != nil || in.ID == "" {
