--- a/cmd/sardineward/operate.go
+++ b/cmd/sardineward/operate.go
@@ -104,7 +104,7 @@
 }
 
 func (o *adminClient) submit(in runner.SubmitRequest) error {
-	var out runner.SubmitAnswer
+	var out runner.SubmitResponse
 	status, err := o.call(http.MethodPost, "/admin/v1/submit", in, &out)
 	switch {
 	case err != nil:
@@ -221,7 +221,7 @@
 	o.addFlags(cmd)
 	name := cmd.Arg("upstream", "Name of the upstream.").Required().String()
 	cmd.Action(func(*kingpin.ParseContext) error {
-		var out runner.SubmitAnswer
+		var out runner.SubmitResponse
 		status, err := o.call(http.MethodPost, "/admin/v1/drain/"+*name, nil, &out)
 		if err != nil {
 			return err
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -102,8 +102,8 @@
 	Configuration string `json:"configuration"`
 }
 
-// SubmitAnswer is the answer to a submission.
-type SubmitAnswer struct {
+// SubmitResponse is the answer to a submission.
+type SubmitResponse struct {
 	Revision int64  `json:"revision,omitempty"`
 	Error    string `json:"error,omitempty"`
 	// Have is the revision in force and By its submitter, when another submission came first.
@@ -137,7 +137,7 @@
 		key, _ := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		want := h.Settings.AdminKeyHash
 		if want == "" || subtle.ConstantTimeCompare([]byte(builder.HashKey(key)), []byte(want)) != 1 {
-			return c.JSON(http.StatusUnauthorized, SubmitAnswer{Error: "administration key is missing or wrong; want header Authorization: Bearer KEY"})
+			return c.JSON(http.StatusUnauthorized, SubmitResponse{Error: "administration key is missing or wrong; want header Authorization: Bearer KEY"})
 		}
 		return next(c)
 	}
@@ -153,7 +153,7 @@
 func (h *Host) configuration(c echo.Context) error {
 	cfg := h.configWatcher.Current()
 	if cfg == nil {
-		return c.JSON(http.StatusNotFound, SubmitAnswer{Error: "no configuration in force"})
+		return c.JSON(http.StatusNotFound, SubmitResponse{Error: "no configuration in force"})
 	}
 	src, err := builder.Canonical(cfg)
 	if err != nil {
@@ -168,7 +168,7 @@
 	dec := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&in); err != nil || in.ID == "" {
-		return c.JSON(http.StatusBadRequest, SubmitAnswer{Error: "body is not a valid submission; want JSON with base, id, by and configuration"})
+		return c.JSON(http.StatusBadRequest, SubmitResponse{Error: "body is not a valid submission; want JSON with base, id, by and configuration"})
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), 30*time.Second)
 	defer cancel()
@@ -176,14 +176,14 @@
 	var conflict *watcher.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		return c.JSON(http.StatusConflict, SubmitAnswer{Error: err.Error(), Have: conflict.Have, By: conflict.By})
+		return c.JSON(http.StatusConflict, SubmitResponse{Error: err.Error(), Have: conflict.Have, By: conflict.By})
 	case ctx.Err() != nil:
-		return c.JSON(http.StatusServiceUnavailable, SubmitAnswer{Error: "the platform did not confirm the submission in time; submit again with the same id"})
+		return c.JSON(http.StatusServiceUnavailable, SubmitResponse{Error: "the platform did not confirm the submission in time; submit again with the same id"})
 	case err != nil:
-		return c.JSON(http.StatusUnprocessableEntity, SubmitAnswer{Error: err.Error()})
+		return c.JSON(http.StatusUnprocessableEntity, SubmitResponse{Error: err.Error()})
 	}
 	h.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_REVISION, Incarnation: rev})
-	return c.JSON(http.StatusOK, SubmitAnswer{Revision: rev})
+	return c.JSON(http.StatusOK, SubmitResponse{Revision: rev})
 }
 
 // drain marks an upstream as leaving on all hosts, until it is restarted with a newer
@@ -191,7 +191,7 @@
 func (h *Host) drain(c echo.Context) error {
 	name := c.Param("upstream")
 	if _, ok := h.upstreamTracker.Upstream(name); !ok {
-		return c.JSON(http.StatusNotFound, SubmitAnswer{Error: "unknown upstream " + name})
+		return c.JSON(http.StatusNotFound, SubmitResponse{Error: "unknown upstream " + name})
 	}
 	inc := h.upstreamTracker.Incarnation(name)
 	h.upstreamTracker.MarkLeaving(name, inc)
