--- a/server/caller.go
+++ b/server/caller.go
@@ -32,8 +32,8 @@
 	Body        []byte
 }
 
-// Caller sends calls to the instances of plain services.
-type Caller interface {
+// ServiceClient sends calls to the instances of plain services.
+type ServiceClient interface {
 	// Call sends req to the instance at address. The error wraps streamer.ErrNotSent when the
 	// instance certainly did not start the call. With once set, no layer below may send the call
 	// a second time.
--- a/server/server.go
+++ b/server/server.go
@@ -37,7 +37,7 @@
 	Router       *router.Router
 	Streamer     *streamer.Streamer
 	Deduplicator *deduplicator.Deduplicator
-	Services     Caller
+	Services     ServiceClient
 	Meter        *meter.Meter
 	Checker      *checker.Checker
 	Log          zerolog.Logger
