--- a/server/caller.go
+++ b/server/caller.go
@@ -60,8 +60,8 @@
 	maxResponse = 16 << 20
 )
 
-// HTTPCaller calls plain services over HTTP.
-type HTTPCaller struct {
+// HTTPServiceClient calls plain services over HTTP.
+type HTTPServiceClient struct {
 	// Shared sends calls that may be repeated. Once opens a new connection for every call:
 	// net/http resends a request by itself when a kept connection turns out to be closed and the
 	// request has an Idempotency-Key header and no body, so a booking could be sent twice without
@@ -70,7 +70,7 @@
 }
 
 // Call implements Caller.
-func (c *HTTPCaller) Call(ctx context.Context, address string, in *ServiceRequest, once bool) (*ServiceResponse, error) {
+func (c *HTTPServiceClient) Call(ctx context.Context, address string, in *ServiceRequest, once bool) (*ServiceResponse, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
