--- a/runner/build.go
+++ b/runner/build.go
@@ -226,7 +226,7 @@
 		Router:       h.requestRouter,
 		Streamer:     h.tokenStreamer,
 		Deduplicator: h.dedup,
-		Services:     &server.HTTPServiceClient{Shared: &http.Client{Transport: h.sharedTransport}, Once: &http.Client{Transport: unsharedTransport}},
+		Services:     &server.HTTPServiceClient{Shared: &http.Client{Transport: h.sharedTransport}, Unshared: &http.Client{Transport: unsharedTransport}},
 		Meter:        h.meter,
 		Checker:      h.Checker,
 		Log:          h.Log,
--- a/server/caller.go
+++ b/server/caller.go
@@ -66,7 +66,7 @@
 	// net/http resends a request by itself when a kept connection turns out to be closed and the
 	// request has an Idempotency-Key header and no body, so a booking could be sent twice without
 	// a retry of this package.
-	Shared, Once *http.Client
+	Shared, Unshared *http.Client
 }
 
 // Call implements Caller.
@@ -85,7 +85,7 @@
 	}
 	client := c.Shared
 	if once {
-		client = c.Once
+		client = c.Unshared
 	}
 	resp, err := client.Do(req)
 	if err != nil && !connected.Load() {
