--- a/runner/news.go
+++ b/runner/news.go
@@ -86,7 +86,7 @@
 		}
 		h.suspects.Add(s)
 	case peer.ItemKind_ITEM_KIND_REVISION:
-		h.configWatcher.Heard(it.Incarnation)
+		h.configWatcher.NoteRevision(it.Incarnation)
 	default:
 	}
 }
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -116,8 +116,8 @@
 	return w.current
 }
 
-// Heard records that a revision exists, and wakes Run when it is newer than all known ones.
-func (w *Watcher) Heard(revision int64) {
+// NoteRevision records that a revision exists, and wakes Run when it is newer than all known ones.
+func (w *Watcher) NoteRevision(revision int64) {
 	for {
 		old := w.target.Load()
 		if revision <= old {
