--- a/runner/build.go
+++ b/runner/build.go
@@ -169,13 +169,13 @@
 
 func (h *Host) buildWatcher() {
 	h.configWatcher = &watcher.Watcher{
-		Store:   h.store,
-		Peers:   configurationFetcher{h},
-		Reads:   func() bool { return h.gossip.Owns("configuration", h.Settings.DataCentre, ownersPerDataCentre) },
-		Apply:   h.applyConfiguration,
-		Period:  ms(h.Settings.Timing.ConfigurationMs),
-		Checker: h.Checker,
-		Log:     h.Log,
+		Store:    h.store,
+		Peers:    configurationFetcher{h},
+		IsReader: func() bool { return h.gossip.Owns("configuration", h.Settings.DataCentre, ownersPerDataCentre) },
+		Apply:    h.applyConfiguration,
+		Period:   ms(h.Settings.Timing.ConfigurationMs),
+		Checker:  h.Checker,
+		Log:      h.Log,
 	}
 	h.configWatcher.Start()
 }
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -83,8 +83,8 @@
 type Watcher struct {
 	Store storer.Store
 	Peers Fetcher
-	// Reads reports whether this host watches the platform.
-	Reads func() bool
+	// IsReader reports whether this host watches the platform.
+	IsReader func() bool
 	// Apply is called with each configuration that is put in force, in order of revisions.
 	Apply func(revision int64, cfg *builder.Configuration)
 	// Period is the interval between retries, and the longest time between two reads of the
@@ -164,7 +164,7 @@
 func (w *Watcher) watchPlatform(ctx context.Context) {
 	var after int64
 	for ctx.Err() == nil {
-		if w.Revision() != 0 && !w.Reads() {
+		if w.Revision() != 0 && !w.IsReader() {
 			sleep(ctx, w.Period)
 			continue
 		}
