--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), 30*time.Second)
 	defer cancel()
 	rev, err := watcher.Submit(ctx, h.store, []byte(in.Configuration), in.Base, in.ID, in.By)
-	var conflict *watcher.Conflict
+	var conflict *watcher.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		return c.JSON(http.StatusConflict, SubmitResponse{Error: err.Error(), Have: conflict.Have, By: conflict.By})
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -38,7 +38,7 @@
 	}
 	<-done
 	<-done
-	var conflict *watcher.Conflict
+	var conflict *watcher.ConflictError
 	switch {
 	case errs[0] == nil && errs[1] == nil:
 		b.t.Errorf("both operators won against revision %d: %v", base, revs)
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -312,8 +312,8 @@
 	}
 }
 
-// Conflict is the error of a submission that another one preceded.
-type Conflict struct {
+// ConflictError is the error of a submission that another one preceded.
+type ConflictError struct {
 	// Base is the revision that the submission was made against, Have the one in force.
 	Base, Have int64
 	// By names the submitter of the revision in force.
@@ -321,7 +321,7 @@
 }
 
 // Error names the submitter and the revision in force.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	return fmt.Sprintf("submitted against revision %d, but %q submitted revision %d", c.Base, c.By, c.Have)
 }
 
@@ -393,7 +393,7 @@
 		return rev, nil
 	}
 	if head.Revision != base {
-		return 0, &Conflict{Base: base, Have: head.Revision, By: head.By}
+		return 0, &ConflictError{Base: base, Have: head.Revision, By: head.By}
 	}
 	next := &Head{Revision: base + 1, Parts: parts, Submission: id, By: by, Recent: head.recentSubmissions()}
 	value, err := json.Marshal(next)
