--- a/cmd/sardineward/dev.go
+++ b/cmd/sardineward/dev.go
@@ -56,7 +56,7 @@
 		Platform:     address(3),
 		HostList:     address(4),
 	}
-	if err := settings.Fill(); err != nil {
+	if err := settings.FillDefaults(); err != nil {
 		return err
 	}
 	settings.Log.Console = true
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -34,7 +34,7 @@
 	if err := doc.Decode(cfg); err != nil {
 		return nil, err
 	}
-	if err := cfg.Fill(); err != nil {
+	if err := cfg.FillDefaults(); err != nil {
 		return nil, err
 	}
 	if err := checkAddresses(doc, cfg).Err(); err != nil {
@@ -43,9 +43,9 @@
 	return cfg, nil
 }
 
-// Fill sets the defaults of absent groups, and the advertised address of an endpoint without one
+// FillDefaults sets the defaults of absent groups, and the advertised address of an endpoint without one
 // to its listening address.
-func (j *Settings) Fill() error {
+func (j *Settings) FillDefaults() error {
 	if err := setDefaults(&j.Limits); err != nil {
 		return err
 	}
--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -146,7 +146,7 @@
 	if i >= initialHosts {
 		cfg.Peers = []string{cfg.Peer.Listen}
 	}
-	is.New(b.t).NoErr(cfg.Fill())
+	is.New(b.t).NoErr(cfg.FillDefaults())
 	return cfg
 }
 
--- a/runner/speed_test.go
+++ b/runner/speed_test.go
@@ -86,7 +86,7 @@
 		Host: "h", DataCentre: "x", Platform: serve(platform.Handler()),
 		Callers: loader.Endpoint{Listen: caller}, Peer: loader.Endpoint{Listen: "127.0.0.1:0"}, Admin: loader.Endpoint{Listen: "127.0.0.1:0"},
 	}
-	if err := settings.Fill(); err != nil {
+	if err := settings.FillDefaults(); err != nil {
 		b.Fatal(err)
 	}
 	h := &runner.Host{Settings: settings, Log: zerolog.Nop()}
