--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -73,10 +73,10 @@
 		if !repathed {
 			k.Balancer.RecordFirstEventDelay(a.lease, now, now-a.sentAt)
 		}
-		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target {
+		if !repathed && k.route.TargetLatency > 0 && now-a.sentAt > k.route.TargetLatency {
 			k.sampleLatency(now, true)
 		}
-		if !repathed && k.route.Target > 0 && now-a.sentAt > k.route.Target/slowDivisor {
+		if !repathed && k.route.TargetLatency > 0 && now-a.sentAt > k.route.TargetLatency/slowDivisor {
 			k.Balancer.RecordSlowEvent(now, a.lease)
 		}
 		k.Balancer.RecordStart(now, a.lease)
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -165,7 +165,7 @@
 // need returns what to reserve for the request, from its token counts or the engine's averages.
 func (k *call) need() balancer.Requirements {
 	prompt, maxTokens := parseTokens(k.r.Header.Get(k.Headers.Tokens))
-	n := balancer.Requirements{PromptTokens: prompt, AnswerTokens: maxTokens, FirstEventTarget: k.route.Target}
+	n := balancer.Requirements{PromptTokens: prompt, AnswerTokens: maxTokens, FirstEventTarget: k.route.TargetLatency}
 	e := k.service.Engine
 	if e == nil {
 		return n
@@ -247,7 +247,7 @@
 // startFirstEventTimer counts a stream as late as soon as its first event is late. When engines are
 // overloaded most callers disconnect before that event.
 func (k *call) startFirstEventTimer(a *attempt) *time.Timer {
-	target := k.route.Target
+	target := k.route.TargetLatency
 	if target <= 0 {
 		target = defaultTimeout
 	}
@@ -261,7 +261,7 @@
 
 // recordNoFirstEvent records an attempt that ended late and without an event.
 func (k *call) recordNoFirstEvent(a *attempt) {
-	if now := k.Now(); a.repaths.Load() == 0 && now-a.sentAt > k.route.Target {
+	if now := k.Now(); a.repaths.Load() == 0 && now-a.sentAt > k.route.TargetLatency {
 		k.Balancer.RecordFirstEventDelay(a.lease, now, now-a.sentAt)
 	}
 }
--- a/launcher/bench_test.go
+++ b/launcher/bench_test.go
@@ -106,7 +106,7 @@
 	route := func(prefix, service string, kind matcher.Kind) matcher.Route {
 		return matcher.Route{
 			Name: prefix, Host: "desk.example", Prefix: prefix, Kind: kind, Timeout: 20 * time.Second,
-			Target: 500 * time.Millisecond, Splits: []matcher.Split{{Service: service, Weight: 1}}, MaxAttempts: 2,
+			TargetLatency: 500 * time.Millisecond, Splits: []matcher.Split{{Service: service, Weight: 1}}, MaxAttempts: 2,
 		}
 	}
 	resumable := route("/stream/", "model", matcher.KindStreaming)
--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -42,8 +42,8 @@
 	Kind   Kind   `json:"kind"`
 	// Timeout bounds the whole request; 0 means no limit.
 	Timeout time.Duration `json:"timeout"`
-	// Target is the latency that callers expect; for a stream, that of the first event.
-	Target time.Duration `json:"target"`
+	// TargetLatency is the latency that callers expect; for a stream, that of the first event.
+	TargetLatency time.Duration `json:"target"`
 	// Gap is the longest time between two events that callers expect; 0 where the route does not
 	// stream.
 	Gap time.Duration `json:"gap"`
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -121,7 +121,7 @@
 // route returns a route for the requests whose path starts with prefix.
 func route(prefix, service string, kind matcher.Kind) matcher.Route {
 	return matcher.Route{
-		Name: prefix, Host: serviceHost, Prefix: prefix, Kind: kind, Timeout: 10 * time.Second, Target: 500 * time.Millisecond,
+		Name: prefix, Host: serviceHost, Prefix: prefix, Kind: kind, Timeout: 10 * time.Second, TargetLatency: 500 * time.Millisecond,
 		MaxAttempts: 2, Resumable: kind == matcher.KindStreaming, Splits: []matcher.Split{{Service: service, Weight: 1}},
 	}
 }
