--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -87,10 +87,10 @@
 	k.Balancer.RecordProgress(now, a.lease)
 	pause := now - delivered.lastEvent
 	delivered.longestGap, delivered.lastEvent = max(delivered.longestGap, pause), now
-	if !repathed && k.route.Gap > 0 && pause > k.route.Gap {
+	if !repathed && k.route.MaxGap > 0 && pause > k.route.MaxGap {
 		k.sampleLatency(now, true)
 	}
-	if !repathed && k.route.Gap > 0 && pause > k.route.Gap/slowDivisor {
+	if !repathed && k.route.MaxGap > 0 && pause > k.route.MaxGap/slowDivisor {
 		k.Balancer.RecordSlowEvent(now, a.lease)
 	}
 }
--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -44,9 +44,9 @@
 	Timeout time.Duration `json:"timeout"`
 	// TargetLatency is the latency that callers expect; for a stream, that of the first event.
 	TargetLatency time.Duration `json:"target"`
-	// Gap is the longest time between two events that callers expect; 0 where the route does not
+	// MaxGap is the longest time between two events that callers expect; 0 where the route does not
 	// stream.
-	Gap time.Duration `json:"gap"`
+	MaxGap time.Duration `json:"gap"`
 	// Priority is the rank in queues; 0 is served first.
 	Priority int `json:"priority"`
 	// Splits holds at least one entry.
