--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -109,7 +109,7 @@
 // that is cut off from updates must not accept a key that was revoked meanwhile.
 func (f *Forwarder) keysFresh() bool {
 	t := f.Tables.Table()
-	return f.MaxKeyAge == 0 || t == nil || !t.Keyed || f.Tables.Age() < f.MaxKeyAge
+	return f.MaxKeyAge == 0 || t == nil || !t.RequiresKey || f.Tables.Age() < f.MaxKeyAge
 }
 
 // call is one request of a caller and the state of serving it. Its times are those of Now.
@@ -195,7 +195,7 @@
 		}
 		return k.refuse(admitter.ReasonUnknown, "no route")
 	}
-	k.keyRequired = k.table.Keyed && !k.route.Public
+	k.keyRequired = k.table.RequiresKey && !k.route.Public
 	if k.keyRequired {
 		if !k.keysFresh() {
 			return k.refuse(admitter.ReasonNotReady, "keys too old")
@@ -305,7 +305,7 @@
 // upstreamRequest builds the request to the first upstream of a lease.
 func (k *call) upstreamRequest(l *balancer.Lease) *connector.Request {
 	if k.header == nil {
-		k.header = k.Headers.outgoing(k.r.Header, k.table.Keyed)
+		k.header = k.Headers.outgoing(k.r.Header, k.table.RequiresKey)
 	}
 	h := k.header.Clone()
 	left := max(1, int64((k.deadline-k.Now())/time.Millisecond))
--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -149,21 +149,21 @@
 	Version  int64
 	Limits   Limits
 	Services map[string]*Service
-	// Keyed is set when requests to routes that aren't public need a key.
-	Keyed  bool
-	routes map[string]map[string]*Route
-	keys   map[string]*Workspace
+	// RequiresKey is set when requests to routes that aren't public need a key.
+	RequiresKey bool
+	routes      map[string]map[string]*Route
+	keys        map[string]*Workspace
 }
 
 // New compiles a configuration.
 func New(cfg *Configuration) *Table {
 	t := &Table{
-		Version:  cfg.Version,
-		Limits:   cfg.Limits,
-		Services: make(map[string]*Service, len(cfg.Services)),
-		Keyed:    len(cfg.Workspaces) > 0,
-		routes:   make(map[string]map[string]*Route),
-		keys:     make(map[string]*Workspace),
+		Version:     cfg.Version,
+		Limits:      cfg.Limits,
+		Services:    make(map[string]*Service, len(cfg.Services)),
+		RequiresKey: len(cfg.Workspaces) > 0,
+		routes:      make(map[string]map[string]*Route),
+		keys:        make(map[string]*Workspace),
 	}
 	for i := range cfg.Services {
 		t.Services[cfg.Services[i].Name] = &cfg.Services[i]
