--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -112,9 +112,9 @@
 	Name string `json:"name"`
 	// MB is the memory for layers and requests.
 	MB float64 `json:"mb"`
-	// Pace multiplies the time of a step, ReadPace the time to process a prompt.
-	Pace     float64 `json:"pace"`
-	ReadPace float64 `json:"readPace"`
+	// StepTimeFactor multiplies the time of a step, ReadPace the time to process a prompt.
+	StepTimeFactor float64 `json:"pace"`
+	ReadPace       float64 `json:"readPace"`
 }
 
 // Workspace is a set of keys that share a priority.
--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -250,7 +250,7 @@
 // holding the ordered span: it takes no new requests for its old layers.
 func (o *Orderer) memberOf(e *matcher.Engine, u *balancer.Member) placer.Member {
 	card := balancer.CardOf(e, u.Card)
-	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.Pace, Held: placer.Span(u.Layers), Unreachable: u.Unavailable, Streams: u.InFlight}
+	m := placer.Member{ID: u.ID, DataCentre: u.DataCentre, MB: card.MB, Pace: card.StepTimeFactor, Held: placer.Span(u.Layers), Unreachable: u.Unavailable, Streams: u.InFlight}
 	if o.orderPending(u) {
 		m.Pending = true
 		o.mu.Lock()
