--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -341,7 +341,7 @@
 			return c
 		}
 	}
-	return matcher.Card{Name: name, MB: e.LayerMB * float64(e.Layers) * 2, StepTimeFactor: 1, ReadPace: 1}
+	return matcher.Card{Name: name, MB: e.LayerMB * float64(e.Layers) * 2, StepTimeFactor: 1, ReadTimeFactor: 1}
 }
 
 // Acquire reserves capacity on the cheapest upstreams. The lease is nil unless the reason is
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -20,7 +20,7 @@
 	return &matcher.Engine{
 		Layers: 80, LayerMB: 1750, TokenBytes: 590000, StepMs: 1.02, PerSequenceMs: 0.0046, PerContextMs: 0.006,
 		ReadPerSecond: 164000, ActivationBytes: 29500, PipeMbps: 19000, Slots: 192, Prompt: 774, Answer: 210,
-		Cards: []matcher.Card{{Name: "large", MB: 144000, StepTimeFactor: 2.4, ReadPace: 3.2}, {Name: "slow", MB: 21600, StepTimeFactor: 16, ReadPace: 8}},
+		Cards: []matcher.Card{{Name: "large", MB: 144000, StepTimeFactor: 2.4, ReadTimeFactor: 3.2}, {Name: "slow", MB: 21600, StepTimeFactor: 16, ReadTimeFactor: 8}},
 	}
 }
 
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -269,7 +269,7 @@
 	}
 	known := b.totalUsage(now, u)
 	perStep := e.StepMs + batchWeight*known.requests*(e.PerSequenceMs+e.PerContextMs*tokens/1e3)
-	perLayer := b.pace(now, u) * (n.PromptTokens/e.ReadPerSecond*card.ReadPace + n.AnswerTokens*perStep/1e3*card.StepTimeFactor) / float64(e.Layers)
+	perLayer := b.pace(now, u) * (n.PromptTokens/e.ReadPerSecond*card.ReadTimeFactor + n.AnswerTokens*perStep/1e3*card.StepTimeFactor) / float64(e.Layers)
 	c := picker.Candidate{
 		Name:       u.ID,
 		DataCentre: u.DataCentre,
--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -114,7 +114,7 @@
 	MB float64 `json:"mb"`
 	// StepTimeFactor multiplies the time of a step, ReadPace the time to process a prompt.
 	StepTimeFactor float64 `json:"pace"`
-	ReadPace       float64 `json:"readPace"`
+	ReadTimeFactor float64 `json:"readPace"`
 }
 
 // Workspace is a set of keys that share a priority.
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(_ *testing.T) {
 		service := &matcher.Service{Name: "model", Engine: &matcher.Engine{
 			Layers: 40, LayerMB: 1750, TokenBytes: 590000, StepMs: 1, PerSequenceMs: 0.005, LoadTime: 14 * time.Second, Prompt: 700, Answer: 200,
-			Cards: []matcher.Card{{Name: "x", MB: 14400, StepTimeFactor: 1, ReadPace: 1}},
+			Cards: []matcher.Card{{Name: "x", MB: 14400, StepTimeFactor: 1, ReadTimeFactor: 1}},
 		}}
 		services := map[string]*matcher.Service{"model": service}
 		b := &balancer.Balancer{Policy: picker.Cheapest{}, Rand: rand.New(rand.NewPCG(1, 1))}
