--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -96,8 +96,8 @@
 	LinkMbps float64 `json:"linkMbps"`
 	// LoadTime is the time to load the whole model.
 	LoadTime time.Duration `json:"loadTime"`
-	// LoadsAtOnce is the number of loads that run concurrently without slowing each other down.
-	LoadsAtOnce int `json:"loadsAtOnce"`
+	// MaxConcurrentLoads is the number of loads that run concurrently without slowing each other down.
+	MaxConcurrentLoads int `json:"loadsAtOnce"`
 	// Slots is the number of requests that one upstream runs as the first of a path.
 	Slots int `json:"slots"`
 	// Prompt and Answer are the typical numbers of tokens of a prompt and of an answer.
