--- a/server/caller.go
+++ b/server/caller.go
@@ -62,14 +62,14 @@
 
 // HTTPServiceClient calls plain services over HTTP.
 type HTTPServiceClient struct {
-	// Shared sends calls that may be repeated. Once opens a new connection for every call:
+	// Shared sends calls that may be repeated. Unshared opens a new connection for every call:
 	// net/http resends a request by itself when a kept connection turns out to be closed and the
 	// request has an Idempotency-Key header and no body, so a booking could be sent twice without
 	// a retry of this package.
 	Shared, Unshared *http.Client
 }
 
-// Call implements Caller.
+// Call implements ServiceClient.
 func (c *HTTPServiceClient) Call(ctx context.Context, address string, in *ServiceRequest, once bool) (*ServiceResponse, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
