--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -355,7 +355,7 @@
 
 // Submit makes src the configuration that follows revision base, and returns the new revision.
 // All retries of a submission share its id, by which Submit finds out whether a write took effect
-// whose answer was lost. The error is a *Conflict when another submission came first.
+// whose answer was lost. The error is a *ConflictError when another submission came first.
 func Submit(ctx context.Context, store storer.Store, src []byte, base int64, id, by string) (int64, error) {
 	cfg, err := builder.Parse("configuration", src)
 	if err != nil {
