--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -96,7 +96,8 @@
 	LinkMbps float64 `json:"linkMbps"`
 	// LoadTime is the time to load the whole model.
 	LoadTime time.Duration `json:"loadTime"`
-	// MaxConcurrentLoads is the number of loads that run concurrently without slowing each other down.
+	// MaxConcurrentLoads is the number of loads that run at a time without slowing each other
+	// down.
 	MaxConcurrentLoads int `json:"loadsAtOnce"`
 	// Slots is the number of requests that one upstream runs as the first of a path.
 	Slots int `json:"slots"`
@@ -112,7 +113,7 @@
 	Name string `json:"name"`
 	// MB is the memory for layers and requests.
 	MB float64 `json:"mb"`
-	// StepTimeFactor multiplies the time of a step, ReadPace the time to process a prompt.
+	// StepTimeFactor multiplies the time of a step, ReadTimeFactor the time to process a prompt.
 	StepTimeFactor float64 `json:"pace"`
 	ReadTimeFactor float64 `json:"readPace"`
 }
