--- a/router/router.go
+++ b/router/router.go
@@ -295,7 +295,7 @@
 	case streamer.CauseDeadline:
 		return &admitter.Refusal{Reason: admitter.ReasonDeadline, RetryAfter: r.Admitter.RetryAfter(job.Pipeline)}
 	case streamer.CauseInvalid:
-		return &admitter.Refusal{Reason: admitter.ReasonMalformed, NotRun: true, Detail: "the engine rejected the request as invalid"}
+		return &admitter.Refusal{Reason: admitter.ReasonMalformed, NotRun: true, Detail: "the engine can't take it"}
 	default:
 	}
 	if f.Attempt >= maxAttempts {
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -137,7 +137,7 @@
 		key, _ := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		want := h.Settings.AdminKeyHash
 		if want == "" || subtle.ConstantTimeCompare([]byte(builder.HashKey(key)), []byte(want)) != 1 {
-			return c.JSON(http.StatusUnauthorized, SubmitResponse{Error: "administration key is missing or wrong; want header Authorization: Bearer KEY"})
+			return c.JSON(http.StatusUnauthorized, SubmitResponse{Error: "want Authorization: Bearer with the administration key"})
 		}
 		return next(c)
 	}
@@ -168,7 +168,7 @@
 	dec := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&in); err != nil || in.ID == "" {
-		return c.JSON(http.StatusBadRequest, SubmitResponse{Error: "body is not a valid submission; want JSON with base, id, by and configuration"})
+		return c.JSON(http.StatusBadRequest, SubmitResponse{Error: "want base, id, by and configuration"})
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), 30*time.Second)
 	defer cancel()
@@ -178,7 +178,7 @@
 	case errors.As(err, &conflict):
 		return c.JSON(http.StatusConflict, SubmitResponse{Error: err.Error(), Have: conflict.Have, By: conflict.By})
 	case ctx.Err() != nil:
-		return c.JSON(http.StatusServiceUnavailable, SubmitResponse{Error: "the platform did not confirm the submission in time; submit again with the same id"})
+		return c.JSON(http.StatusServiceUnavailable, SubmitResponse{Error: "the platform did not settle the submission in time; submit again with the same id"})
 	case err != nil:
 		return c.JSON(http.StatusUnprocessableEntity, SubmitResponse{Error: err.Error()})
 	}
@@ -191,7 +191,7 @@
 func (h *Host) drain(c echo.Context) error {
 	name := c.Param("upstream")
 	if _, ok := h.upstreamTracker.Upstream(name); !ok {
-		return c.JSON(http.StatusNotFound, SubmitResponse{Error: "unknown upstream " + name})
+		return c.JSON(http.StatusNotFound, SubmitResponse{Error: "no upstream " + name})
 	}
 	inc := h.upstreamTracker.Incarnation(name)
 	h.upstreamTracker.MarkLeaving(name, inc)
--- a/server/caller.go
+++ b/server/caller.go
@@ -47,7 +47,7 @@
 
 // Error returns a message with the status.
 func (e *DeclinedError) Error() string {
-	return fmt.Sprintf("instance declined the call with status %d", e.Status)
+	return fmt.Sprintf("instance declined with status %d", e.Status)
 }
 
 // Unwrap returns streamer.ErrNotSent.
--- a/server/completions.go
+++ b/server/completions.go
@@ -104,7 +104,7 @@
 	}
 	m, ok := k.index.models[c.Model]
 	if !ok {
-		return refusal(admitter.ReasonUnknown, "unknown pipeline "+c.Model)
+		return refusal(admitter.ReasonUnknown, "no pipeline "+c.Model)
 	}
 	if !slices.Contains(k.workspace.Pipelines, c.Model) {
 		return refusal(admitter.ReasonForbidden, "workspace may not use pipeline "+c.Model)
--- a/server/server.go
+++ b/server/server.go
@@ -191,7 +191,7 @@
 func (k *call) authenticate() error {
 	key, ok := strings.CutPrefix(k.r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return refusal(admitter.ReasonUnauthorised, "header Authorization is missing or malformed; want Bearer KEY")
+		return refusal(admitter.ReasonUnauthorised, "want Authorization: Bearer KEY")
 	}
 	if k.workspace = k.index.keys[builder.HashKey(key)]; k.workspace == nil {
 		return refusal(admitter.ReasonUnauthorised, "unknown key")
@@ -219,10 +219,10 @@
 	body, err := io.ReadAll(http.MaxBytesReader(k.w, k.r.Body, int64(k.Limits.BodyBytes)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return refusal(admitter.ReasonTooLarge, "body is larger than "+strconv.Itoa(k.Limits.BodyBytes)+" bytes")
+		return refusal(admitter.ReasonTooLarge, "body is over "+strconv.Itoa(k.Limits.BodyBytes)+" bytes")
 	}
 	if err != nil {
-		return refusal(admitter.ReasonMalformed, "reading body: "+err.Error())
+		return refusal(admitter.ReasonMalformed, "body can't be read: "+err.Error())
 	}
 	k.ctl.SetReadDeadline(time.Time{})
 	k.body = body
--- a/server/services.go
+++ b/server/services.go
@@ -33,7 +33,7 @@
 func (s *Server) service(k *call) error {
 	svc := k.index.services[k.serviceName]
 	if svc == nil {
-		return refusal(admitter.ReasonUnknown, "unknown service "+k.serviceName)
+		return refusal(admitter.ReasonUnknown, "no service "+k.serviceName)
 	}
 	if !slices.Contains(k.workspace.Services, svc.Name) {
 		return refusal(admitter.ReasonForbidden, "workspace may not call service "+svc.Name)
@@ -201,7 +201,7 @@
 	if p.decl.SingleShot {
 		return "", nil
 	}
-	detail := "idempotency key is missing; want header " + keyHeader
+	detail := "want header " + keyHeader
 	if p.decl.KeyPointer != "" {
 		detail += " or " + p.decl.KeyPointer + " in the body"
 	}
@@ -271,17 +271,17 @@
 func outcomeRefusal(err error) *admitter.Refusal {
 	switch {
 	case errors.Is(err, deduplicator.ErrRunning):
-		return &admitter.Refusal{Reason: admitter.ReasonRunning, RetryAfter: time.Second, Detail: "an earlier call with this key is still running"}
+		return &admitter.Refusal{Reason: admitter.ReasonRunning, RetryAfter: time.Second, Detail: "an earlier call with this key is running"}
 	case errors.Is(err, deduplicator.ErrOutcomeUnknown):
-		return &admitter.Refusal{Reason: admitter.ReasonOutcomeUnknown, Detail: "the call was sent and its outcome is unknown; it is never sent again"}
+		return &admitter.Refusal{Reason: admitter.ReasonOutcomeUnknown, Detail: "the call was sent and its outcome is not known; it is never sent again"}
 	case errors.Is(err, deduplicator.ErrKeyReused):
-		return &admitter.Refusal{Reason: admitter.ReasonKeyReused, NotRun: true, Detail: "the key was used before with a different request"}
+		return &admitter.Refusal{Reason: admitter.ReasonKeyReused, NotRun: true, Detail: "the key came before with another request"}
 	case errors.Is(err, deduplicator.ErrNotDispatched):
-		return &admitter.Refusal{Reason: admitter.ReasonNoRoute, NotRun: true, RetryAfter: time.Second, Detail: "no instance accepted the call"}
+		return &admitter.Refusal{Reason: admitter.ReasonNoRoute, NotRun: true, RetryAfter: time.Second, Detail: "no instance could take it"}
 	default:
 		return &admitter.Refusal{
 			Reason: admitter.ReasonPlatform, NotRun: true, RetryAfter: time.Second,
-			Detail: "this request was not run; whether an earlier one with its key was run is not known now",
+			Detail: "this request was not run; whether an earlier one with its key was can't be told now",
 		}
 	}
 }
--- a/streamer/client.go
+++ b/streamer/client.go
@@ -19,7 +19,7 @@
 const maxFrameBytes = 1 << 20
 
 // ErrNotSent means that no byte of the request reached an upstream.
-var ErrNotSent = errors.New("streamer: request not sent")
+var ErrNotSent = errors.New("streamer: not sent")
 
 // Frames is the stream of one attempt's frames.
 type Frames interface {
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -322,7 +322,7 @@
 
 // Error names the submitter and the revision in force.
 func (c *ConflictError) Error() string {
-	return fmt.Sprintf("submitted against revision %d, but %q submitted revision %d", c.Base, c.By, c.Have)
+	return fmt.Sprintf("submitted against revision %d, but %q made revision %d", c.Base, c.By, c.Have)
 }
 
 // ReadHead returns the head and its entry in the store. A nil head means that there is none.
