--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -15,8 +15,9 @@
 	// handoverDelay is how long a host waits before it uses a limited upstream in place of
 	// another host: until that one has heard of the change, or its lease has expired.
 	handoverDelay = 3 * time.Second
-	// limitNewsAge is how long a change of a limit is sent ahead of all other limits.
-	limitNewsAge = 2 * time.Second
+	// maxRecentLimitAge is how long after its last change a limit counts as recently changed. Limits
+	// returns those before all others.
+	maxRecentLimitAge = 2 * time.Second
 )
 
 // limit is an upstream's rate limit with this host's share of it and what it has sent.
@@ -131,7 +132,7 @@
 	var recent, rest []UpstreamLimit
 	for id, u := range b.limited {
 		one := UpstreamLimit{Upstream: id, StartedAt: u.StartedAt, Limit: u.limit.Limit}
-		if now-u.limit.changedAt <= limitNewsAge {
+		if now-u.limit.changedAt <= maxRecentLimitAge {
 			recent = append(recent, one)
 		} else {
 			rest = append(rest, one)
