--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,7 +28,8 @@
 
 // Upstream is an upstream's entry in the list.
 type Upstream struct {
-	// ID names one incarnation. Where an id is reused, StartedAt tells the incarnations apart.
+	// ID identifies one incarnation, which is one run of the upstream's process. Where an id is
+	// reused, StartedAt distinguishes the incarnations.
 	ID         string `json:"id"`
 	Service    string `json:"service"`
 	Address    string `json:"address"`
@@ -45,7 +46,7 @@
 	StartedAt int64 `json:"born"`
 }
 
-// Hop is one upstream of a path with the layers it runs; both 0 for a plain service.
+// Hop is one upstream of a path with the layers it runs. From and To are 0 for a plain service.
 type Hop struct {
 	ID, Address string
 	// From is the first layer, To the layer after the last one.
@@ -80,10 +81,11 @@
 	Avoid []string
 	// AllowedFirst lists the upstreams that the request may be sent to; nil allows any.
 	AllowedFirst []string
-	// InProgress is set for a stream that has to go on. It may use the capacity that is
-	// otherwise kept free.
+	// InProgress is set for a stream that has begun and needs a path to continue on. It may use
+	// the capacity that is otherwise kept free.
 	InProgress bool
-	// FirstEventTarget is how soon the first event is wanted; 0 when that is not known.
+	// FirstEventTarget is the wanted time to the first event of the answer's stream; 0 when that
+	// is not known.
 	FirstEventTarget time.Duration
 }
 
@@ -112,7 +114,8 @@
 	// whose path it is on.
 	firstHopRequests, requests int
 	// capacity is the number of token-layers that fit in its memory beside the layers, and
-	// reserved how many of them this host's requests take.
+	// reserved how many of them this host's requests take. A token-layer is the cache of one
+	// token in one layer.
 	capacity, reserved float64
 	// ejectedUntil keeps new work off it after a failure that the list doesn't show yet.
 	ejectedUntil time.Duration
@@ -146,8 +149,8 @@
 	hiddenUsage float64
 	rejectedAt  time.Duration
 	limit       limit
-	// rank is its position in this host's own order. retired is set where the subset keeps it
-	// only for requests in flight.
+	// rank is its sort key in this host's own order of the upstreams. retired is set where the
+	// subset keeps it only for requests in flight.
 	rank    uint64
 	retired bool
 }
@@ -376,7 +379,7 @@
 
 const (
 	// remotePenalty is how many requests in flight a plain upstream in another data centre
-	// counts for: crossing costs bytes and a millisecond, and is still better than waiting.
+	// counts for: the link to it costs traffic and a millisecond, which is better than waiting.
 	remotePenalty = 2.0
 	// failurePenalty is how many requests in flight an upstream counts for that fails all its
 	// requests. It has to outweigh an upstream that is nearly full.
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -40,7 +40,7 @@
 	StateUsable State = iota
 	// StateEmpty upstreams could take new work but hold no layers of their model.
 	StateEmpty
-	// StateLeaving upstreams take no new work and will end.
+	// StateLeaving upstreams take no new work and will stop.
 	StateLeaving
 	// StateDead upstreams accept no connection from this host.
 	StateDead
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -44,8 +44,8 @@
 	minSilenceLimit     = 60 * time.Millisecond
 )
 
-// SilentUpstreams returns the upstreams whose started streams have all got no event for longer
-// than their number explains.
+// SilentUpstreams returns the upstreams over which no started stream has got an event for longer
+// than is usual with that number of streams.
 func (b *Balancer) SilentUpstreams(now time.Duration) []Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // MarkStopped records that an upstream refuses connections, so that its process has ended. One that
-// merely doesn't answer may still be at work.
+// merely doesn't answer may still be running requests.
 func (b *Balancer) MarkStopped(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -206,10 +206,10 @@
 
 const (
 	// failureRateWeight is the weight of one more outcome in the moving average: ten requests
-	// are enough to tell a failure rate of a third from a single failure.
+	// are enough to distinguish a failure rate of a third from a single failure.
 	failureRateWeight = 0.15
-	// firstEjection and maxEjection bound how long an unreachable upstream is ejected. The list
-	// shows that it ended after three heartbeats.
+	// firstEjection and maxEjection bound how long an unreachable upstream is ejected. Three
+	// heartbeats after its process has ended, the list shows it.
 	firstEjection = 500 * time.Millisecond
 	maxEjection   = 4 * time.Second
 	// suspectDuration is how long the cost of an upstream stays raised after an ejection. The
@@ -242,7 +242,7 @@
 }
 
 // Eject keeps new work off an unreachable upstream for a while, twice as long with each failure in
-// a row up to maxEjection. It reports whether the upstream was in use.
+// a row up to maxEjection. It returns false if the upstream is not known or is already ejected.
 func (b *Balancer) Eject(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -13,7 +13,7 @@
 
 const (
 	// handoverDelay is how long a host waits before it uses a limited upstream in place of
-	// another host: until that one has heard of the change, or its lease has expired.
+	// another host. By then the other host has learned of the change, or its lease has expired.
 	handoverDelay = 3 * time.Second
 	// maxRecentLimitAge is how long after its last change a limit counts as recently changed. Limits
 	// returns those before all others.
@@ -165,7 +165,7 @@
 }
 
 // withinLimit reports whether the limit of an upstream allows a request now. inProgress is set for
-// a request that has to go on.
+// a stream that has begun and needs a path to continue on.
 func (b *Balancer) withinLimit(now time.Duration, u *upstream, inProgress bool) bool {
 	l := &u.limit
 	if !l.InForce() {
@@ -199,7 +199,7 @@
 }
 
 // AllowProbe reports whether an upstream may be sent a probe, and counts it against the limit. A
-// limit ends with the list entry, so that an upstream without one may always be probed.
+// limit ends with the list entry, so that an upstream that isn't listed may always be probed.
 func (b *Balancer) AllowProbe(now time.Duration, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -259,8 +259,8 @@
 	return place, hosts
 }
 
-// LimitWait returns the time until some upstream of the service has capacity within its limit
-// again, or until another host may have, as far as this host knows; 0 when no limit is in force.
+// LimitWait returns the time until this host, or another one as far as this host knows, may send a
+// request to some limited upstream of the service; 0 when no limit is in force.
 func (b *Balancer) LimitWait(now time.Duration, service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -11,6 +11,7 @@
 	"github.com/sardineward/sardineward/matcher"
 )
 
+// limitNamedAt is the time at which upstreams first name a limit.
 const limitNamedAt = 10 * time.Second
 
 // newLimitedBalancer returns a balancer whose given upstreams name a limit at limitNamedAt.
--- a/balancer/links.go
+++ b/balancer/links.go
@@ -33,9 +33,9 @@
 	return [2]string{a, b}
 }
 
-// RecordFirstEventDelay records how long the first event of a path took, or how long it was awaited
-// in vain. A pipe between data centres may be full or slower than declared, and a data centre may
-// have too few holders of some layers.
+// RecordFirstEventDelay records how long the first event of a path took, or how long a request
+// waited for one that did not come. A pipe between data centres may be full or slower than
+// declared, and a data centre may have too few holders of some layers.
 func (b *Balancer) RecordFirstEventDelay(l *Lease, now, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/pace.go
+++ b/balancer/pace.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// maxPaceAge is how long a reported pace is used. paceQueryInterval is how long an engine is
-	// left alone after this host has queried it.
+	// maxPaceAge is how long a reported pace is used. paceQueryInterval is the least time from an
+	// engine's answer to this host's next query to it.
 	maxPaceAge        = 3 * time.Second
 	paceQueryInterval = time.Second
 	// paceChangeRatio is the ratio between two paces from which a change is reported.
@@ -79,8 +79,8 @@
 	return u.pace
 }
 
-// pace returns by what factor an upstream is slower than its kind of accelerator: as it told
-// this host, else the highest that another host reported, else 1.
+// pace returns by what factor an upstream is slower than its kind of accelerator: as it reported
+// to this host, else the highest that another host reported, else 1.
 func (b *Balancer) pace(now time.Duration, u *upstream) float64 {
 	if own := u.ownPace(now); own > 0 {
 		return own
--- a/balancer/path.go
+++ b/balancer/path.go
@@ -16,7 +16,7 @@
 	hopCost = 2 * time.Millisecond
 	// remoteBias raises the cost of upstreams in other data centres: callers there come first,
 	// and a lost link cuts the stream. With a small bias, data centres with faster cards draw
-	// load from all others.
+	// load from all others. The cost of an upstream is multiplied by 1 plus its biases.
 	remoteBias = 1.0
 	// crossingCost is what a link between data centres inside a path costs beyond its time:
 	// more than any path inside one data centre, so that a path crosses links only where there
@@ -164,8 +164,8 @@
 	}
 }
 
-// keptBias makes the upstreams already on a path much cheaper when the path changes: they keep
-// what they have read, while new ones read all of it again.
+// keptBias replaces the biases of the upstreams already on a path when the path changes, which
+// makes them much cheaper: they keep what they have read, while new ones read all of it again.
 const keptBias = -0.9
 
 // Repath finds another path for a running request without the upstream to avoid, and moves the
@@ -354,7 +354,8 @@
 	return "layers " + strings.Join(gaps, ",") + " not held; unusable: " + strings.Join(lacking, " ")
 }
 
-// shortageReason tells a lack of capacity from layers that no candidate holds.
+// shortageReason returns ReasonNoUpstream if some layer is held by no candidate, and otherwise
+// ReasonNoRoom: the candidates hold all layers and lack capacity.
 func (b *Balancer) shortageReason(cands []picker.Candidate, layers int) Reason {
 	held := make([]bool, layers)
 	for i := range cands {
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -227,8 +227,8 @@
 	return out
 }
 
-// SetReport replaces the last report of a source. Without reports, each host would take an
-// upstream for empty that all the others fill. Values out of range are left out; the error names
+// SetReport replaces the last report of a source. Without reports, each host would assume that an
+// upstream which all the others fill is empty. Values out of range are left out; the error names
 // the first.
 func (b *Balancer) SetReport(now time.Duration, source string, r Report) error {
 	r, err := r.withoutInvalid()
--- a/balancer/plateau_test.go
+++ b/balancer/plateau_test.go
@@ -26,7 +26,7 @@
 	inTime        int
 }
 
-// stream is a running stream.
+// stream is a request in flight. It is late once its events wait longer than gapTarget for the pipe.
 type stream struct {
 	host    int
 	lease   *balancer.Lease
@@ -36,6 +36,8 @@
 }
 
 const (
+	// streamLife is how long a stream runs after its first event, gapTarget the longest delay of an
+	// event that callers accept.
 	streamLife = 2 * time.Second
 	gapTarget  = 250 * ms
 	// promptTransferTime is how long the pipe takes for a prompt, firstEventTimeout how long
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// chooseSubset takes all upstreams of plain services. Of the others it takes, in this host's own
-// order, until each layer has enough holders in each data centre; since the order differs by host,
+// chooseSubset takes all upstreams of plain services. It adds the others in this host's own order
+// until each layer has enough holders in each data centre. Since the order differs by host,
 // upstreams that hold the same layers are used by about as many hosts each.
 func (b *Balancer) chooseSubset() map[string]*upstream {
 	used := make(map[string]*upstream)
@@ -152,8 +152,8 @@
 	return out * max(1, b.subset.copyFactor)
 }
 
-// rankOf returns the position of an upstream in a host's own order. Rendezvous hashing keeps the
-// loss of one upstream from changing any other's rank.
+// rankOf returns the sort key of an upstream in a host's own order, lowest first. Rendezvous hashing
+// keeps the loss of one upstream from changing any other's rank.
 func rankOf(host, upstream string) uint64 { return xxhash.Sum64String(host + "/" + upstream) }
 
 // SubsetSize returns the number of upstreams that this host uses.
