--- a/limiter/limit.go
+++ b/limiter/limit.go
@@ -15,7 +15,7 @@
 var Unlimited = math.Inf(1)
 
 // Limit is what a host knows of an upstream's rate limit. The zero value means that the host has
-// never heard of one.
+// not learned of any yet.
 type Limit struct {
 	// Version increases by one with each change that any host learns from an answer.
 	Version int64
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -70,7 +70,7 @@
 	return 1
 }
 
-// CanTake reports whether a request may be sent now; urgent is for a request that has to go on.
+// CanTake reports whether a request may be sent now; urgent is set for one that continues a stream.
 func (b *Bucket) CanTake(now time.Duration, s Share, urgent bool) bool {
 	if s.PerSecond == 0 {
 		return false
