--- a/placer/divisions.go
+++ b/placer/divisions.go
@@ -17,7 +17,8 @@
 	maxPartitions = 900
 )
 
-// partition is a division of the model's layers among bands, for some concurrency.
+// partition is a division of the model's layers among bands, which are sets of members of similar
+// pace, for some concurrency.
 type partition struct {
 	concurrency float64
 	// layers is the number of layers of each band. The members of a band with none become
--- a/placer/gaps.go
+++ b/placer/gaps.go
@@ -14,7 +14,8 @@
 	spareDelay = 8 * time.Second
 )
 
-// planGroup closes the gaps of a group, or lays it out if no member holds layers.
+// planGroup closes the gaps of a group, the ranges of layers that no member holds. If no member
+// holds any layers, it lays out the whole group.
 func planGroup(m Model, members []Member) []Move {
 	if slices.IndexFunc(members, func(x Member) bool { return x.Held.Len() > 0 }) < 0 {
 		return layoutGroup(m, members)
--- a/placer/layout.go
+++ b/placer/layout.go
@@ -20,7 +20,8 @@
 	maxRows = 8
 )
 
-// layoutGroup gives every member that can take orders its span of a new layout.
+// layoutGroup lays out a group, a set of members that hold a whole model together. It returns a
+// move for every member that has a span in the layout and can take orders.
 func layoutGroup(m Model, members []Member) []Move {
 	var out []Move
 	layouts := make(map[string][]Span)
@@ -109,9 +110,9 @@
 type band []int
 
 // bandsOf divides members into bands, slowest first; the slowest hold the first layers. A
-// stream that loses its first upstream has to be sent again as a new request, while the
-// other hops of its path are replaced by an order; and among the slowest members there are
-// the most that can take such a request.
+// stream that loses its first upstream has to be sent again as a new request, while any other
+// hop of its path can be replaced while it runs. Among the slowest members the most are left
+// that can take the new request.
 func bandsOf(members []Member) []band {
 	order := make([]int, len(members))
 	for i := range order {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -114,7 +114,7 @@
 	var rest []Member
 	for _, dc := range sortedKeys(byDataCentre) {
 		// A data centre that holds the model remains its own group: while it is cut off, the
-		// entries of its members lapse, and other members must not move into its gaps.
+		// list entries of its members expire, and other members must not move into its gaps.
 		if canHoldModel(m, byDataCentre[dc]) || holdsMostLayers(m, byDataCentre[dc]) {
 			out = append(out, byDataCentre[dc])
 		} else {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -15,7 +15,7 @@
 // model has 80 layers; a typical request takes about 6.5 MB of cache memory in each.
 var model = placer.Model{Layers: 80, LayerMB: 1750, TokenMB: 0.007375, TokensPerRequest: 879, StepTime: 1.02, StepTimePerRequest: 0.01}
 
-// cardKind is a kind of accelerator.
+// cardKind is a kind of accelerator: its memory in MB and the factor on its step time.
 type cardKind struct{ mb, pace float64 }
 
 var (
@@ -194,7 +194,7 @@
 }
 
 // TestPartitionedDataCentre guards against members that move into the gaps of another data
-// centre when it is cut off and the entries of its members lapse one after the other.
+// centre when it is cut off and the list entries of its members expire one after the other.
 func TestPartitionedDataCentre(t *testing.T) {
 	is := is.New(t)
 	members := append(fleet("a", 1, 6, 6), fleet("b", 1, 10, 4)...)
