--- a/orderer/orderer.go
+++ b/orderer/orderer.go
@@ -45,7 +45,7 @@
 	idlePeriod = time.Second
 	// pendingTimeout is how long an accepted order counts as pending, beyond its load time,
 	// while the list does not show it. An upstream first drains the streams that use the layers
-	// it gives up; with four seconds, a second and a third upstream were sent for the same gap.
+	// it gives up; with four seconds, a second and a third upstream got orders for the same gap.
 	pendingTimeout = 20 * time.Second
 	// retryDelay is the time without orders to an upstream that refused one or did not answer.
 	retryDelay = time.Second
@@ -55,7 +55,7 @@
 	// the layout includes all of it: its upstreams appear over the course of a heartbeat.
 	settleTime = 900 * time.Millisecond
 	// returnGrace is how long an upstream that is no longer listed keeps its place: the few
-	// seconds until it returns from a crash, less the heartbeats until its entry lapses.
+	// seconds until it returns from a crash, less the heartbeats until its list entry expires.
 	returnGrace = 4 * time.Second
 )
 
@@ -66,7 +66,7 @@
 	// Services returns the services in force by name.
 	Services func() map[string]*matcher.Service
 	// Holds reports whether this host holds the duty for a data centre, HoldsAny whether it
-	// holds any. Both return false in case of doubt.
+	// holds any. Both must return false when this host may have lost it.
 	Holds    func(dataCentre string) bool
 	HoldsAny func() bool
 	// Now is a clock that also advances while the machine is suspended.
@@ -96,7 +96,8 @@
 // pendingOrder is an order that the list does not show yet.
 type pendingOrder struct {
 	span placer.Span
-	// startedAt tells the incarnation of the upstream that got the order.
+	// startedAt identifies the incarnation of the upstream that got the order by its start, in
+	// Unix milliseconds.
 	startedAt int64
 	// until is when the order no longer counts as pending, by Orderer.Now.
 	until time.Duration
@@ -136,7 +137,7 @@
 
 // placeService compares one service with its layout, and gives orders if this host holds a duty.
 // If not, it still records which members are listed: a duty is mostly taken right after an
-// outage or a network partition, when entries that lapsed meanwhile are about to return.
+// outage or a network partition, when entries that expired meanwhile are about to return.
 func (o *Orderer) placeService(ctx context.Context, s *matcher.Service, holds bool) {
 	fleet := o.Balancer.Fleet(o.Now(), s.Name)
 	if len(fleet) == 0 || !o.fleetSettled(len(fleet)) {
--- a/orderer/orderer_test.go
+++ b/orderer/orderer_test.go
@@ -178,11 +178,11 @@
 		holds.Store(false)
 		before := e.orderCount()
 		time.Sleep(5 * time.Second)
-		lapsed := []string{"10.0.0.3", "10.0.0.4", "10.0.0.8"}
+		expired := []string{"10.0.0.3", "10.0.0.4", "10.0.0.8"}
 		e.mu.Lock()
 		var returning []balancer.Upstream
 		var gone []string
-		for _, address := range lapsed {
+		for _, address := range expired {
 			returning = append(returning, e.upstreams[address])
 			gone = append(gone, e.upstreams[address].ID)
 		}
