--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,5 +1,5 @@
 // Package registrar announces an entry host to the others by an entry in the platform's store,
-// which lapses with the host's lease. Under the same lease it takes duties: the duty for a data
+// which expires with the host's lease. Under the same lease it takes duties: the duty for a data
 // centre is the right to give orders to its engines, which one host holds at a time.
 package registrar
 
@@ -76,14 +76,16 @@
 	duties map[string]bool
 }
 
-// Holding reports whether this host holds the duty for a data centre; in case of doubt it does not.
+// Holding reports whether this host holds the duty for a data centre. It returns false once the
+// lease may have expired or the store was restored from a copy after the lease was granted.
 func (r *Registrar) Holding(dataCentre string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duties[dataCentre] && r.leaseValid()
 }
 
-// leaseValid reports whether the lease has certainly not expired. r.mu must be held.
+// leaseValid reports whether the lease has certainly not expired and the store was not restored
+// from a copy since it was granted. r.mu must be held.
 func (r *Registrar) leaseValid() bool { return r.Now() < r.expiresAt && r.leaseEra == r.currentEra() }
 
 func (r *Registrar) currentEra() int64 {
@@ -93,7 +95,8 @@
 	return r.Era()
 }
 
-// HoldingAny reports whether this host holds any duty; in case of doubt it does not.
+// HoldingAny reports whether this host holds any duty. It returns false once the lease may have
+// expired or the store was restored from a copy after the lease was granted.
 func (r *Registrar) HoldingAny() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
