--- a/planner/planner.go
+++ b/planner/planner.go
@@ -4,8 +4,9 @@
 // In each data centre one host does so, the one that holds the data centre's lease. It takes a
 // fencing token, which is incremented by compare-and-swap at each change of holder, and sends it
 // with every order. Engines that check it refuse a former holder. For the others, the holder
-// checks its lease right before each order, waits out the longest pause before its first one,
-// and keeps comparing what they report with what is wanted, so that a stale order is undone.
+// checks its lease right before each order, waits for the longest pause of a process before its
+// first one, and keeps comparing what they report with what is wanted, so that a stale order is
+// undone.
 package planner
 
 import (
@@ -33,7 +34,7 @@
 	Last    int    `json:"last"`
 }
 
-// Order tells an engine to load a target.
+// Order is a command to an engine to load a target.
 type Order struct {
 	// Fence is the fencing token of the holder.
 	Fence  int64  `json:"fence"`
@@ -44,7 +45,7 @@
 type EngineClient interface {
 	// Loaded returns what an engine holds.
 	Loaded(ctx context.Context, address string) (Target, error)
-	// Order returns ErrFenced if the engine has seen a higher fencing token.
+	// Order sends an order. It returns ErrFenced if the engine has seen a higher fencing token.
 	Order(ctx context.Context, address string, o Order) error
 }
 
