--- a/docs/guards.sh
+++ b/docs/guards.sh
@@ -28,10 +28,10 @@
 }
 
 guard frameIdentity streamer/streamer.go 's/if f\.RequestID != r\.job\.ID \|\|[^{]*\{/if false {/' streamer TestFrames
-guard frameLayers streamer/streamer.go 's/if !ranAsAsked\(f\.Spans, stages\) \{/if false {/' runner TestStageReloaded
-guard watchdog streamer/watchdog.go 's/AfterFunc\(w\.limit, w\.fire\)/AfterFunc(w.limit, func() {})/' runner TestStagePaused
-guard claim deduplicator/deduplicator.go 's/old\.Nonce == takeOver && old\.State == StateClaimed/old.State == StateClaimed/' runner TestRepeatsAtOnce
-guard liveNonce deduplicator/deduplicator.go 's/running = d\.live\[nonce\]/running = false/' runner TestRepeatsAtOnce
+guard frameLayers streamer/streamer.go 's/if !spansMatch\(f\.Spans, stages\) \{/if false {/' runner TestStageReloaded
+guard watchdog streamer/watchdog.go 's/AfterFunc\(w\.silenceLimit, w\.expire\)/AfterFunc(w.silenceLimit, func() {})/' runner TestStagePaused
+guard claim deduplicator/deduplicator.go 's/old\.Nonce == abandonedNonce && old\.State == StateClaimed/old.State == StateClaimed/' runner TestRepeatsAtOnce
+guard liveNonce deduplicator/deduplicator.go 's/running = d\.liveNonces\[nonce\]/running = false/' runner TestRepeatsAtOnce
 guard generations deduplicator/bucket.go 's/if g\.doc\.Records\[key\] != nil \{/if false {/' deduplicator TestTurnOfGeneration
 guard notSentTwice server/caller.go 's/if once \{/if false {/' runner TestKeyedEmptyBody
 guard unknownOutcome server/services.go 's/if !errors\.Is\(err, streamer\.ErrNotSent\) \{\n\t\t\treturn out, true, false/if false {\n\t\t\treturn out, true, false/' runner TestAnswerLostUpstream
@@ -39,21 +39,21 @@
 guard neverBack watcher/watcher.go 's/head\.Revision <= (w\.Revision\(\)|old)/false/g' watcher TestNeverBack
 guard operatorsRace watcher/watcher.go 's/if head\.Revision != base \{/if false {/' runner TestOperatorsRace
 guard lostSubmission watcher/watcher.go 's/; ok \{\n\t\treturn rev, nil/; ok && false {\n\t\treturn rev, nil/' runner TestLostSubmission
-guard freshHost runner/runner.go 's/return !h\.watch\.Behind\(\) && /return /' runner TestFreshHost
+guard freshHost runner/runner.go 's/return !h\.configWatcher\.Behind\(\) && /return /' runner TestFreshHost
 guard leaving tracker/tracker.go 's/if u\.leaving\(\) \{/if false {/' runner TestLeavingListed
-guard gracefulStop runner/runner.go 's/left := h\.serve\.Wait\(limit\)/left := int64(0)/; s/h\.drainConnections\(limit\)//' runner TestRollingReplacement
-guard lastByte runner/runner.go 's/h\.drainConnections\(limit\)//' runner TestStopAtLastByte
-guard quarantine tracker/suspects.go 's/if len\(strikes\) < doubtAt \|\|/if true ||/' runner TestPoison
-guard leaseDeadline planner/planner.go 's/context\.WithDeadline\(ctx, t\.until\)/context.WithCancel(ctx)/' planner TestPausedHolder
+guard gracefulStop runner/runner.go 's/left := h\.apiServer\.Wait\(stopCtx\)/left := int64(0)/; s/h\.drainConnections\(stopCtx\)//' runner TestRollingReplacement
+guard lastByte runner/runner.go 's/h\.drainConnections\(stopCtx\)//' runner TestStopAtLastByte
+guard quarantine tracker/suspects.go 's/if len\(strikes\) < soleStrikeThreshold \|\|/if true ||/' runner TestPoison
+guard leaseDeadline planner/planner.go 's/context\.WithDeadline\(ctx, t\.expiresAt\)/context.WithCancel(ctx)/' planner TestPausedHolder
 guard retryBudget admitter/admitter.go 's/if b\.spent\+1 > b\.Burst \{/if false {/' runner TestRetryBudget
-guard heal gossiper/gossiper.go 's/if n%healEvery == 0 \{/if false {/' gossiper TestPartition
+guard heal gossiper/gossiper.go 's/if n%reconnectEveryPeriods == 0 \{/if false {/' gossiper TestPartition
 guard refute gossiper/gossiper.go 's/if old > it\.Incarnation \{/if true {/' gossiper TestRefute
-guard pace tracker/pace.go 's/f \*= paceDown/f *= 1/' router TestPolicies
-guard strangers gossiper/gossiper.go 's/if n <= joinFor \|\| n%healEvery == 0 \{/if false {/' gossiper TestStartedAtOnce
+guard pace tracker/pace.go 's/f \*= paceDecrease/f *= 1/' router TestPolicies
+guard strangers gossiper/gossiper.go 's/if n <= joinPeriods \|\| n%reconnectEveryPeriods == 0 \{/if false {/' gossiper TestStartedAtOnce
 guard recordAddress gossiper/gossiper.go 's/if address != "" && /if false \&\& /' runner TestJoinedHostAsked
 guard olderList follower/follower.go 's/if revision <= newest \{/if false {/' follower TestOlderList
-guard runsBounded forwarder/stream.go 's/n\.Firsts = k\.firsts\(\)/_ = k.firsts()/' launcher TestStreamRunsBounded
-guard forwardQuarantine forwarder/forwarder.go 's/if k\.quarantined\(\) \{/if false \&\& k.quarantined() {/g' launcher TestPoison
-guard linksLast balancer/path.go 's/crossing = 10 \* time\.Second/crossing = 200 * time.Millisecond/' balancer TestLinksLast
-guard silentCounts balancer/health.go 's/return u == nil \|\| u\.ended/return u == nil || u.dead/' balancer TestLost
+guard runsBounded forwarder/stream.go 's/n\.AllowedFirst = k\.allowedFirsts\(\)/_ = k.allowedFirsts()/' launcher TestStreamRunsBounded
+guard forwardQuarantine forwarder/forwarder.go 's/if k\.refuseQuarantined\(\) \{/if false \&\& k.refuseQuarantined() {/g' launcher TestPoison
+guard linksLast balancer/path.go 's/crossingCost = 10 \* time\.Second/crossingCost = 200 * time.Millisecond/' balancer TestLinksLast
+guard silentCounts balancer/health.go 's/return u == nil \|\| u\.stopped/return u == nil || u.dead/' balancer TestLost
 exit "$green"
