--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,9 +1,9 @@
-// Package follower keeps the route table and the list of upstreams in sync with their source, and
-// tracks how stale that knowledge is.
+// Package follower keeps the route table and the list of upstreams in sync with the Source, the
+// store in which they are declared, and tracks how stale that knowledge is.
 //
 // Staleness is counted from the moment the last successful call was sent, on a clock that keeps
 // running while the machine is suspended. A host that cannot read the source takes changes from its
-// peers and adds their staleness to its own.
+// peers; its staleness is then theirs plus the time since it sent the call to them.
 package follower
 
 import (
@@ -22,7 +22,7 @@
 )
 
 // ErrCompacted means that the source no longer holds the changes since a position, or was restored
-// from a copy after it. The caller must read everything again.
+// from a copy after that position. The caller must read everything again.
 var ErrCompacted = errors.New("follower: history no longer available")
 
 // Changes holds what changed at the source after a position, or everything it holds after a Load.
@@ -79,7 +79,8 @@
 	// may get new work for at most two seconds; a fifth of that leaves time for one lost call.
 	minPollInterval = 400 * time.Millisecond
 	// pollIntervalPerReader lengthens the pause, up to maxPollInterval, if many hosts read the
-	// source, so that all of them together call it as often as a dozen would.
+	// source, so that all of them together call it about as often as a dozen hosts would at
+	// minPollInterval.
 	pollIntervalPerReader = 36 * time.Millisecond
 	maxPollInterval       = 900 * time.Millisecond
 	// longPollWait bounds a call that has no change to return, so that knowledge of a quiet source
@@ -88,16 +89,16 @@
 	// unreachable.
 	longPollWait = 250 * time.Millisecond
 	// responseSlack is how long after longPollWait an answer may still arrive. It is a hundred
-	// times the usual latency, and short enough for two attempts before keys can no longer be
-	// trusted.
+	// times the usual latency, and short enough for two attempts before the configuration is so
+	// stale that its API keys are no longer accepted.
 	responseSlack = 700 * time.Millisecond
 	// loadTimeout bounds one reading of everything. All hosts of a large fleet may start at once
 	// and share the bandwidth of the source.
 	loadTimeout = 12 * time.Second
 	// retryDelay is the pause after a failed call.
 	retryDelay = 250 * time.Millisecond
-	// fallbackAge is the staleness at which a host that is served by relays reads the source
-	// itself. It spans several exchanges with relays that do not answer or cannot reach the source.
+	// fallbackAge is the staleness at which a host that gets changes from its peers reads the source
+	// itself. It spans several exchanges with peers that do not answer or cannot reach the source.
 	fallbackAge = 1500 * time.Millisecond
 	// minFallbackCheckInterval is the shortest time between two checks whether to fall back.
 	minFallbackCheckInterval = 50 * time.Millisecond
@@ -118,7 +119,7 @@
 	// OnChange is called after each change that was applied; nil means no call.
 	OnChange func()
 	// ReadsSource reports whether this host reads the source itself. Other hosts get changes from
-	// their peers, and read the source only while these are silent or out of date; nil means
+	// their peers, and read the source only while these do not answer or are out of date; nil means
 	// always.
 	ReadsSource func() bool
 	// ReaderCount returns how many hosts read the source; nil means all of them.
@@ -153,7 +154,9 @@
 	missingUpstreams map[string]time.Duration
 	// missingHosts is the same for entry hosts.
 	missingHosts map[string]time.Duration
-	outage       bool
+	// outage is set from a failed call to the source until a call succeeds or peers send recent
+	// changes.
+	outage bool
 	// afterOutage is set until the first answer after an outage was applied.
 	afterOutage bool
 	// reloaded is set after everything was read, until an update of a peer is applied on top of it.
@@ -335,8 +338,8 @@
 	return nil
 }
 
-// noteSourceVersion ends the doubt about a restored source once it holds a configuration that is as
-// new as any known one. f.mu is held.
+// noteSourceVersion clears sourceStaleUntil once the source holds a configuration that is as new as
+// any known one. f.mu is held.
 func (f *Follower) noteSourceVersion(cfg *matcher.Configuration) {
 	if cfg != nil && cfg.Version >= f.newestKnownVersion() {
 		f.sourceStaleUntil = 0
@@ -430,13 +433,13 @@
 	}
 }
 
-// loadStagger is the time between two hosts that start to read long lists: about what some thousand
-// entries take over the link of the source.
+// loadStagger is the time between two hosts that start to read long lists: about as long as the link
+// of the source takes to transfer a thousand entries.
 const loadStagger = 16 * time.Millisecond
 
 // loadDelay returns when this host starts to read long lists, so that the hosts of a large fleet
 // that start together read them one after another. If all read at once, each would take so long
-// that the changes made meanwhile would be as long again.
+// that the list of changes made meanwhile would be as long again.
 func (f *Follower) loadDelay(others []Host) time.Duration {
 	rank, before := xxhash.Sum64String(f.Host), 0
 	for _, h := range others {
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -90,7 +90,8 @@
 func TestSourceCallRate(t *testing.T) {
 	for _, tc := range []struct {
 		hosts int
-		most  float64
+		// most is the highest permitted rate of calls per second.
+		most float64
 	}{{4, 3}, {25, 30.0 / 25}} {
 		t.Run(strconv.Itoa(tc.hosts), func(t *testing.T) {
 			runCounted(t, func(src *faker.Directory, fol *follower.Follower, _ *balancer.Balancer, c *countingSource) {
--- a/follower/peers.go
+++ b/follower/peers.go
@@ -57,10 +57,11 @@
 	t := f.table.Load()
 	switch {
 	case f.position.IsZero() || t == nil || s.Version < t.Version || f.hasMissing():
-		// The peer has not noticed yet that the source was restored from a copy.
+		// This host has read nothing yet, the peer's configuration is older, or the update may omit
+		// entries that expired in an outage and were written again since.
 		return false
 	case s.Era < f.position.Era:
-		// A peer that has not noticed yet that the source came back from a copy.
+		// The peer has not noticed yet that the source was restored from a copy.
 		return false
 	case s.Version > t.Version || (f.position.Before(s.Position) && s.Update == nil):
 		if s.Version > f.newestPeerVersion || (s.Version == t.Version && f.newestPeerPosition.Before(s.Position)) {
