--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -29,8 +29,9 @@
 	balancer         *balancer.Balancer
 	share            *sharer.Sharer
 	suspects         *tracker.Suspects
-	refused          atomic.Bool
-	run, kill        func()
+	// refused makes the source refuse the calls of this host.
+	refused   atomic.Bool
+	run, kill func()
 }
 
 // fleet is a set of hosts in some data centres that follow one source.
--- a/sharer/limits.go
+++ b/sharer/limits.go
@@ -8,12 +8,13 @@
 	"github.com/sardineward/sardineward/peer"
 )
 
-// maxLimitsWait bounds how long a starting host waits for another one, from the moment it knows of
-// other hosts.
+// maxLimitsWait bounds how long a starting host waits for the limits of another one, from the moment
+// it knows of other hosts.
 const maxLimitsWait = 400 * time.Millisecond
 
-// KnowsLimits reports whether this host knows which upstreams name a limit: another host has sent
-// its limits, there is no other host, or none answered within maxLimitsWait.
+// KnowsLimits reports whether this host knows which upstreams name a limit on the requests per
+// second that they accept. That holds if another host has sent its limits, if there is no other
+// host, or if none answered within maxLimitsWait.
 func (s *Sharer) KnowsLimits() bool {
 	if s.heardFromHost.Load() {
 		return true
--- a/sharer/limits_test.go
+++ b/sharer/limits_test.go
@@ -68,7 +68,7 @@
 		m.run()
 		is.True(!m.share.KnowsLimits())
 		took := await(5*time.Second, m.share.KnowsLimits)
-		t.Logf("informed after %v", took)
+		t.Logf("limits known to the started host after %v", took)
 		is.True(took <= 500*time.Millisecond)
 		is.Equal(m.balancer.LimitCount(), 1)
 	})
--- a/sharer/restore_test.go
+++ b/sharer/restore_test.go
@@ -10,10 +10,11 @@
 	"github.com/sardineward/sardineward/balancer"
 )
 
-// TestFleetRestored checks that the hosts of a large fleet are soon right again after the source
-// was restored from a copy, and that not all of them read everything.
+// TestFleetRestored checks that all hosts of a large fleet know the content of a source soon after
+// it was restored from a copy, and that not all of them read everything.
 func TestFleetRestored(t *testing.T) {
 	for _, size := range []struct{ centres, each int }{{2, 2}, {3, 8}, {5, 24}, {5, 60}} {
+		// overtaken: the restored source has issued more revisions than were lost by the restore.
 		for _, overtaken := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d hosts, overtaken %t", size.centres*size.each, overtaken), func(t *testing.T) {
 				runFleet(t, size.centres, size.each, func(is *is.I, fl *fleet) {
@@ -34,7 +35,7 @@
 					fl.source.SetUnavailable(false)
 					took := await(5*time.Second, func() bool { return allKnow(fl.members, "leaves", true) })
 					time.Sleep(max(0, 5*time.Second-took))
-					t.Logf("all hosts right after %v, %d calls to the source in 5 s", took, fl.calls.Load())
+					t.Logf("all hosts up to date after %v, %d calls to the source in 5 s", took, fl.calls.Load())
 					is.True(took <= 1500*time.Millisecond)
 					is.True(fl.calls.Load() <= int64(25*size.centres+2*len(fl.members)))
 					for _, m := range fl.members {
--- a/sharer/roles.go
+++ b/sharer/roles.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// relaysPerDataCentre is how many hosts of a data centre are its relays: if one is lost, the
-	// other still serves. The first one reads the source.
+	// relaysPerDataCentre is how many hosts of a data centre are its relays, with which its other
+	// hosts exchange state: if one is lost, the other still serves. The first one reads the source.
 	relaysPerDataCentre = 2
 	// probeInterval is the time between two probes of a host that did not answer; maxProbes is how
 	// many such hosts are probed in one round.
@@ -50,7 +50,7 @@
 	probeAt time.Duration
 }
 
-// plan lists the relays with which a host exchanges, and whether it is one.
+// plan holds the relays with which a host exchanges state, and whether it is a relay itself.
 type plan struct {
 	relay bool
 	// localRelays are the other relays of the own data centre, remoteRelays those of all others.
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -60,6 +60,7 @@
 // Sharer exchanges state with other hosts and serves their calls as a peer.Share. The exported
 // fields are set before Run.
 type Sharer struct {
+	// Self is the name of this host, DataCentre the data centre it is in.
 	Self       string
 	DataCentre string
 	Follower   *follower.Follower
