--- a/tracker/events.go
+++ b/tracker/events.go
@@ -225,8 +225,9 @@
 	}
 }
 
-// AcquireInstance draws two instances of a plain service that have room, counts a request as in
-// flight on the less loaded one and returns its name. It returns "" if none has room.
+// AcquireInstance draws two of the named instances that have room, counts a request as in flight on
+// the less loaded one and returns its name. It returns "" if none has room. It is for plain
+// services, which run each call on one instance and have no layers.
 func (t *Tracker) AcquireInstance(now time.Time, names []string, r Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -252,6 +253,7 @@
 	return a.cfg.Name
 }
 
+// concurrency returns how many requests this host may have in flight on an instance at once.
 func (u *upstream) concurrency() int {
 	const defaultConcurrency = 64
 	if u.cfg.Concurrency > 0 {
--- a/tracker/pace.go
+++ b/tracker/pace.go
@@ -30,7 +30,7 @@
 const (
 	// maxLateShare is the fraction of tokens that may be late.
 	maxLateShare = 0.05
-	// minPaceFactor and maxPaceFactor bound the factor.
+	// minPaceFactor and maxPaceFactor bound the factor by which a pipeline's slots are multiplied.
 	minPaceFactor = 0.2
 	maxPaceFactor = 1.25
 	// paceDecrease and paceIncrease multiply the factor, at most once per paceInterval.
--- a/tracker/suspects.go
+++ b/tracker/suspects.go
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-// Suspects keeps the strikes of each fingerprint. It is safe for concurrent use.
+// Suspects keeps the strikes against each request fingerprint. It is safe for concurrent use.
 type Suspects struct {
 	// WentDown lists the upstreams that went down at most within before or after at; set before
 	// use. If it is nil, all strikes count.
@@ -155,7 +155,7 @@
 // attributable leaves out strikes that the request probably did not cause. When a rack or a data
 // centre fails, requests in flight there move to engines that fail a moment later, and two crashes
 // would make them look like the cause. A request that crashes engines is in flight on each engine
-// that fails, so if others fail at the same time it is not the cause.
+// that fails, so if at least minOthers others fail within window of the crash, it is not the cause.
 func (s *Suspects) attributable(strikes []Strike) []Strike {
 	const (
 		window    = 2 * time.Second
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -85,7 +85,7 @@
 	// inFlight counts the sequences that this host has in flight on the upstream.
 	inFlight int
 	requests map[string]inFlightRequest
-	// lastLoad is the last report, loadAt when it came; both are valid if hasLoad is set.
+	// lastLoad is the last report, loadAt when it arrived; both are valid if hasLoad is set.
 	lastLoad Load
 	loadAt   time.Time
 	hasLoad  bool
@@ -113,7 +113,7 @@
 	Host string
 	// HostCount returns how many hosts send work to the same upstreams; nil means one.
 	HostCount func() int
-	// Checker is told when work is given to a leaving upstream; nil means no check.
+	// Checker records a violation when work is given to a leaving upstream; nil means no check.
 	Checker *checker.Checker
 	// Unlimited lifts the limit on slots, so that the effect of admission control can be measured.
 	Unlimited bool
@@ -128,8 +128,9 @@
 
 // pipeline is the configuration of a pipeline and the upstreams that serve it.
 type pipeline struct {
-	cfg    builder.Pipeline
-	model  builder.Model
+	cfg   builder.Pipeline
+	model builder.Model
+	// all holds the upstreams that serve the pipeline, subset those among which this host chooses.
 	subset []*upstream
 	all    []*upstream
 	// share is the fraction of all hosts that choose any one upstream into their subset.
@@ -242,7 +243,8 @@
 	Fingerprint uint64
 	// Prefix is the same for prompts with the same beginning; 0 means none.
 	Prefix uint64
-	// Suspect keeps the request away from other suspect requests.
+	// Suspect is set if a request with this fingerprint was in flight on an upstream that crashed.
+	// The route then uses no upstream on which this host has a different suspect request in flight.
 	Suspect bool
 	// Avoid lists upstreams that the route must not use.
 	Avoid []string
@@ -388,11 +390,11 @@
 	return float64(u.inFlight) + u.othersInFlight(now, hosts)
 }
 
-// othersInFlight estimates how many sequences other hosts have on the upstream. A report is as old
-// as the upstream's lag, so the current own count must not be subtracted from it: a burst of this
-// host would hide the load of all others. Its average is subtracted instead, and the difference
-// smoothed again. As the report ages it gives way to the assumption that every host, behind the
-// same load balancer, holds as many.
+// othersInFlight estimates how many sequences other hosts have on the upstream. A report describes
+// an earlier moment, so the current count of this host must not be subtracted from it: a burst of
+// this host would hide the load of all others. The average of that count is subtracted instead, and
+// the difference smoothed again. As a report ages, more weight goes to the assumption that each other
+// host has as many sequences there as this one, because all are behind the same load balancer.
 func (u *upstream) othersInFlight(now time.Time, hosts float64) float64 {
 	guess := u.inFlightAverage.update(now, float64(u.inFlight)) * (hosts - 1)
 	if !u.hasLoad {
--- a/tracker/view.go
+++ b/tracker/view.go
@@ -11,12 +11,13 @@
 
 // Status describes one upstream for operators.
 type Status struct {
-	Upstream    string  `json:"upstream"`
-	DataCentre  string  `json:"dataCentre"`
-	State       State   `json:"state"`
-	Incarnation int64   `json:"incarnation"`
-	InFlight    int     `json:"inFlight"`
-	Sequences   float64 `json:"sequences"`
+	Upstream    string `json:"upstream"`
+	DataCentre  string `json:"dataCentre"`
+	State       State  `json:"state"`
+	Incarnation int64  `json:"incarnation"`
+	// InFlight counts the sequences of this host, Sequences estimates those of all hosts.
+	InFlight  int     `json:"inFlight"`
+	Sequences float64 `json:"sequences"`
 	// ReportAgeMs is the age of the last load report in milliseconds; -1 before the first one.
 	ReportAgeMs int64 `json:"reportAgeMs"`
 }
