--- a/router/decisions_test.go
+++ b/router/decisions_test.go
@@ -162,7 +162,8 @@
 }
 
 // recoveryTime moves a window of one second over the tokens after the failure. after is the time
-// until the rate stays within 5% of the expected rate, lowest the lowest fraction of it seen.
+// until the rate is within 5% of the expected rate, lowest the lowest fraction of it seen. If the
+// rate drops again in the first two seconds, after counts until the next recovery.
 func (x *result) recoveryTime() (after time.Duration, lowest float64) {
 	const second = int(time.Second / bucketDuration)
 	begin := int(x.warmUp / bucketDuration)
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -209,6 +209,7 @@
 
 func prefixHash(s string) uint64 { return xxhash.Sum64String(s) }
 
+// histogram returns a histogram of durations of 1 microsecond to 10 minutes, in microseconds.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
 func (x *result) simulate(t *testing.T) {
@@ -268,7 +269,7 @@
 // iterationsPerToken is the mean cost of a generated token, in iterations, with its share of an
 // uncached prompt.
 func iterationsPerToken() float64 {
-	const promptWeight = 64
+	const promptWeight = 64 // bytes of an uncached prompt that cost one iteration
 	prompt := (1-longPromptFraction)*shortPrompt + longPromptFraction*longPrompt
 	return 1 + prompt/promptWeight/meanTokens
 }
--- a/router/router.go
+++ b/router/router.go
@@ -2,8 +2,9 @@
 // runs, packages tracker and picker decide where, and rate limits, the retry budget and the
 // quarantine may refuse it.
 //
-// Package streamer asks it for routes, and package server asks it for instances of plain services.
-// It does no I/O: it announces to other hosts and probes upstreams through its Announcer.
+// Package streamer asks it for routes, and package server asks it for instances of plain services,
+// which run each call on one instance. It does no I/O: it announces to other hosts and probes
+// upstreams through its Announcer.
 package router
 
 import (
@@ -245,8 +246,8 @@
 		r.Announcer.AnnounceStrike(s)
 	}
 	r.markDown(now, upstream)
-	// Probing others in the data centre tells a request that crashes engines, where the others
-	// still answer, from a rack that lost its power, where they do not.
+	// Probing others in the data centre distinguishes a request that crashes engines, where the
+	// others still answer, from a rack that lost its power, where they do not.
 	const maxProbed = 6
 	r.Announcer.ProbeSoon(r.Tracker.SameDataCentre(upstream, maxProbed))
 }
@@ -341,7 +342,7 @@
 // RecordAnswer adds a complete answer to the pipeline's averages. took is the time from the first
 // token to the last.
 func (r *Router) RecordAnswer(job *streamer.Job, tokens int, took time.Duration) {
-	const weight = 0.05
+	const weight = 0.05 // share of the newest answer in the averages
 	fraction := float64(tokens) / float64(job.MaxTokens)
 	gap := took / time.Duration(max(1, tokens))
 	r.mu.Lock()
