--- a/deduplicator/bucket.go
+++ b/deduplicator/bucket.go
@@ -12,10 +12,10 @@
 
 const (
 	// sealBytes is the encoded size at which a generation is sealed. Every commit writes the whole
-	// generation, so this is far below the platform's limit.
+	// generation, so this is far below the platform's limit on the size of a value.
 	sealBytes = 32 << 10
-	// sealRecords and maxBatchOperations keep a generation under the platform's limit even if each
-	// of its records later gets an outcome of maxInlineBody bytes.
+	// sealRecords and maxBatchOperations keep a generation under that limit even if each of its
+	// records later gets an outcome of maxInlineBody bytes.
 	sealRecords        = 256
 	maxBatchOperations = 128
 	// retryDelay is the wait after a failed call to the platform.
--- a/deduplicator/deduplicator.go
+++ b/deduplicator/deduplicator.go
@@ -55,9 +55,9 @@
 // Call identifies one request that is not idempotent.
 type Call struct {
 	RequestID string
-	// Key is a hash of workspace, service, call and idempotency key.
+	// Key is a hash of workspace, service, method, declared path and idempotency key.
 	Key string
-	// Digest is a hash of the whole request.
+	// Digest is a hash of the request's method, path, query and body.
 	Digest string
 }
 
@@ -315,8 +315,8 @@
 }
 
 // storeBody stores a large body under its own key, before the record that refers to it is written.
-// A body that is larger than storer.MaxValue, or can't be stored in five attempts, is missing, and
-// repeats of the call get ErrOutcomeUnknown.
+// A body that is larger than storer.MaxValueBytes, or can't be stored in five attempts, is missing,
+// and repeats of the call get ErrOutcomeUnknown.
 func (d *Deduplicator) storeBody(rec Record, out Outcome) *Outcome {
 	body := out.Body
 	out.Body, out.StoredSeparately = nil, true
--- a/deduplicator/record.go
+++ b/deduplicator/record.go
@@ -12,13 +12,14 @@
 
 // The states of a record.
 const (
-	// StateClaimed: a host may dispatch the call, or has dispatched it and recorded no outcome yet.
+	// StateClaimed means that a host may dispatch the call, or has dispatched it and recorded no
+	// outcome yet.
 	StateClaimed State = iota
-	// StateAbandoned: the host that claimed the call gave it up before it sent any byte.
+	// StateAbandoned means that the host that claimed the call gave it up before it sent any byte.
 	StateAbandoned
-	// StateDone: the call ran and its outcome is recorded.
+	// StateDone means that the call ran and its outcome is recorded.
 	StateDone
-	// StateUnknown: the call was sent, and its outcome is unknown.
+	// StateUnknown means that the call was sent, and its outcome is unknown.
 	StateUnknown
 )
 
@@ -33,7 +34,7 @@
 
 // Record is the stored state of one call that is not idempotent.
 type Record struct {
-	// Key is a hash of workspace, service, call and idempotency key.
+	// Key is a hash of workspace, service, method, declared path and idempotency key.
 	Key string `json:"key"`
 	// Digest is a hash of the request. It detects a key that is reused for another request.
 	Digest string `json:"digest"`
