--- a/sharer/fleet_test.go
+++ b/sharer/fleet_test.go
@@ -364,8 +364,8 @@
 // one host that reads it.
 func TestReaderRefused(t *testing.T) {
 	runFleet(t, 1, 24, func(is *is.I, fl *fleet) {
-		away := fl.reader(is, "dc0")
-		away.refused.Store(true)
+		refusedHost := fl.reader(is, "dc0")
+		refusedHost.refused.Store(true)
 		time.Sleep(3 * time.Second)
 		fl.calls.Store(0)
 		const seconds = 10
