--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -91,20 +91,20 @@
 // TestRefusedHostFollowsPeers checks that a host does not become stale while the store refuses it
 // and serves the others.
 func TestRefusedHostFollowsPeers(t *testing.T) {
-	for _, away := range []string{"a", "b", "c"} {
-		t.Run(away, func(t *testing.T) {
+	for _, refusedHost := range []string{"a", "b", "c"} {
+		t.Run(refusedHost, func(t *testing.T) {
 			run(t, func(_ *faker.Network, hosts map[string]*host) {
 				is := is.New(t)
-				hosts[away].source.SetUnavailable(true)
+				hosts[refusedHost].source.SetUnavailable(true)
 				for name, h := range hosts {
-					if name != away {
+					if name != refusedHost {
 						h.source.Configure(&matcher.Configuration{Version: 5})
 						h.source.PutUpstream(balancer.Upstream{ID: "two", Address: "2"})
 						h.source.DeleteUpstream("one")
 					}
 				}
 				time.Sleep(5 * time.Second)
-				h := hosts[away]
+				h := hosts[refusedHost]
 				is.True(h.follow.OwnAge() > 4*time.Second)
 				is.True(h.follow.Age() < 3*time.Second)
 				is.Equal(h.follow.Table().Version, int64(5))
