--- a/launcher/fleet_test.go
+++ b/launcher/fleet_test.go
@@ -86,8 +86,8 @@
 	self string
 }
 
-func (o sourceWithoutSelf) Load(ctx context.Context, turn follower.LoadDelay) (*follower.Changes, error) {
-	return o.without(o.Directory.Load(ctx, turn))
+func (o sourceWithoutSelf) Load(ctx context.Context, delay follower.LoadDelay) (*follower.Changes, error) {
+	return o.without(o.Directory.Load(ctx, delay))
 }
 
 func (o sourceWithoutSelf) Changes(ctx context.Context, after follower.Position, wait time.Duration) (*follower.Changes, error) {
