--- a/faker/directory.go
+++ b/faker/directory.go
@@ -82,10 +82,10 @@
 }
 
 // SetUnavailable makes the source unreachable, or reachable again.
-func (d *Directory) SetUnavailable(away bool) {
+func (d *Directory) SetUnavailable(unavailable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.unavailable = away
+	d.unavailable = unavailable
 }
 
 func (d *Directory) position() follower.Position {
