--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -23,8 +23,8 @@
 		}
 		return
 	}
-	surelyOwn := resp.Header.Get(k.Headers.Stamp) != "" || resp.Header.Get(k.Headers.NotRun) != ""
-	if perSecond == limiter.Unlimited && !surelyOwn {
+	fromUpstream := resp.Header.Get(k.Headers.Stamp) != "" || resp.Header.Get(k.Headers.NotRun) != ""
+	if perSecond == limiter.Unlimited && !fromUpstream {
 		return
 	}
 	change, changed := k.Balancer.ObserveLimit(k.Now(), sent, id, l.StartedAt, perSecond)
