--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -72,7 +72,7 @@
 	k.lastEventID = parseEventID(k.r.Header.Get("Last-Event-Id"))
 	resumptions := 0
 	for {
-		l := k.acquireOrAbort(k.need())
+		l := k.acquireOrAbort(k.requirements())
 		if l == nil {
 			return
 		}
@@ -162,8 +162,8 @@
 	return out
 }
 
-// need returns what to reserve for the request, from its token counts or the engine's averages.
-func (k *call) need() balancer.Requirements {
+// requirements returns what to reserve for the request, from its token counts or the engine's averages.
+func (k *call) requirements() balancer.Requirements {
 	prompt, maxTokens := parseTokens(k.r.Header.Get(k.Headers.Tokens))
 	n := balancer.Requirements{PromptTokens: prompt, AnswerTokens: maxTokens, FirstEventTarget: k.route.TargetLatency}
 	e := k.service.Engine
