--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -112,7 +112,7 @@
 	return f.MaxKeyAge == 0 || t == nil || !t.RequiresKey || f.Tables.Age() < f.MaxKeyAge
 }
 
-// call is one request of a caller and the state of serving it. Its times are those of Now.
+// call is one request of a caller and the state of serving it. Its times are values of Now.
 type call struct {
 	*Forwarder
 	w           http.ResponseWriter
@@ -214,7 +214,8 @@
 	return true
 }
 
-// timeout returns the shorter of the caller's and the route's timeout.
+// timeout returns the shorter of the caller's and the route's timeout, or defaultTimeout when there is
+// neither.
 func (k *call) timeout() time.Duration {
 	out := k.route.Timeout
 	if v := parseNumber(k.r.Header.Get(k.Headers.DeadlineMs)); v > 0 {
@@ -338,7 +339,7 @@
 	n.Avoid = k.avoid
 	l, reason := k.Balancer.Acquire(k.Now(), n)
 	if l == nil && len(k.avoid) > 0 {
-		// An upstream that failed once is better than none.
+		// A request goes to an upstream that failed it before rather than being refused.
 		n.Avoid = nil
 		l, reason = k.Balancer.Acquire(k.Now(), n)
 	}
@@ -369,7 +370,7 @@
 }
 
 // retryOrRefuse reports whether the request may be sent once more, and takes a retry from the
-// budget for it. Otherwise it refuses the request, unless the caller has gone.
+// budget for it. Otherwise it refuses the request, unless the caller has disconnected.
 func (k *call) retryOrRefuse(ctx context.Context, v verdict) bool {
 	if k.r.Context().Err() != nil {
 		return false
--- a/forwarder/headers.go
+++ b/forwarder/headers.go
@@ -67,7 +67,8 @@
 }
 
 // outgoing returns the headers to forward to an upstream. It removes those that only hosts may
-// set: otherwise a caller could run requests in the name of another workspace.
+// set: otherwise a caller could run requests in the name of another workspace. keyed is set when
+// the configuration requires keys: Authorization then holds one and is removed too.
 func (h *Headers) outgoing(in http.Header, keyed bool) http.Header {
 	out := in.Clone()
 	dropHopByHop(out)
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -9,7 +9,8 @@
 )
 
 // observeLimit updates the upstream's request limit from its response to a request sent at sent. A
-// response without a limit header ends the limit only if it surely comes from that upstream.
+// response without a limit header ends the limit only if it has a header that shows that it comes
+// from that upstream: its signature, or the mark that the request did not run.
 func (k *call) observeLimit(l *balancer.Lease, resp *http.Response, sent time.Duration) {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return // the response is from another upstream at that address
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -141,7 +141,8 @@
 }
 
 // minHopFailureDelay is the least time in which the first upstream detects that another one on the
-// path is dead. A rejection before that means that the other one has no room, which is known at once.
+// path is dead. A rejection before that means that the other one has no capacity, which is known at
+// once.
 const minHopFailureDelay = time.Second
 
 // handleRejection reports whether the response rejects the request without running it, and records
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -23,7 +23,7 @@
 }
 
 // refuseQuarantined refuses a request that crashed the upstreams which ran it, and reports whether
-// it did. Otherwise a body that crashes engines takes down one more with each retry and each time
+// it did. Without that, a body that crashes engines crashes one more with each retry and each time
 // that the caller repeats it, at any host.
 func (k *call) refuseQuarantined() bool {
 	wait, ok := k.Suspects.Quarantined(time.Now(), k.fingerprint)
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -15,7 +15,8 @@
 	// probeInterval is the time between two probes of one upstream.
 	probeInterval = 120 * time.Millisecond
 	// slowFirstEvent is how long a stream waits for its first event before the upstreams of its
-	// path are probed, and the time between two such probes: twice the usual time.
+	// path are probed, and the time between two of these probes of one upstream. It is twice the
+	// usual time to a first event.
 	slowFirstEvent = 250 * time.Millisecond
 	// probeTimeout bounds the time for an upstream to accept a connection.
 	probeTimeout = 80 * time.Millisecond
@@ -24,14 +25,14 @@
 	deadProbeInterval       = 400 * time.Millisecond
 	deadProbesPerDataCentre = 4
 	// stalledFirstEvent and stalledNextEvent are how long a stream waits for its first and for
-	// a further event before its first upstream is asked which upstream it waits for: some
-	// upstreams accept connections but can't reach each other.
+	// a further event before the first upstream of its path is asked for which other upstream it
+	// waits: some upstreams accept connections but can't reach each other.
 	stalledFirstEvent = 400 * time.Millisecond
 	stalledNextEvent  = 200 * time.Millisecond
-	// stallQueryInterval is the time between two such queries to one upstream, whose answer is
-	// some hundred milliseconds old.
+	// stallQueryInterval is the time between two queries to one upstream for its stalled requests.
+	// The answer is some hundred milliseconds old.
 	stallQueryInterval = 250 * time.Millisecond
-	// stallQueryTimeout bounds one such query.
+	// stallQueryTimeout bounds one query for stalled requests.
 	stallQueryTimeout = 150 * time.Millisecond
 	// maxTickDelay is how late a check may run. A later one means that this host itself was
 	// suspended or overloaded, and silence says nothing about upstreams.
@@ -42,11 +43,11 @@
 
 // Engines controls requests that run on engines.
 type Engines interface {
-	// Repath tells the first upstream of a path to continue a request over other hops. After an
+	// Repath orders the first upstream of a path to continue a request over other hops. After an
 	// error the path may or may not have changed.
 	Repath(ctx context.Context, requestID string, hops []balancer.Hop) error
-	// QueryStalls asks an upstream which of the requests for which it is the first hop wait for
-	// another upstream.
+	// QueryStalls returns the requests for which the upstream at address is the first hop and which
+	// wait for another upstream.
 	QueryStalls(ctx context.Context, address string) ([]Stall, error)
 }
 
@@ -239,7 +240,8 @@
 		case !isTimeout(err) || f.lastContact.Load() >= int64(startedAt):
 			f.recordProbe(ctx, h, err)
 		default:
-			// No upstream was heard since the probe began, so this host's own link is full or down.
+			// No upstream sent an event or accepted a connection since the probe began, so this
+			// host's own link is overloaded or down.
 			f.Log.Debug().Err(err).Str("upstream", h.ID).Msg("forwarder: no answer, nor from any other upstream")
 		}
 	}()
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -21,6 +21,7 @@
 const (
 	// maxResumptions is how often one stream may be resumed as a new request.
 	maxResumptions = 4
+	// readBufferSize is the size in bytes of the buffer that a stream's response is read into.
 	readBufferSize = 4 << 10
 	// resumeTimeout is how long an interrupted stream waits for a path; callers abandon a stream
 	// that is silent for two seconds. resumeRetryInterval is the time between two tries.
@@ -236,16 +237,17 @@
 	return v
 }
 
-// sampleLatency reports to the limit on streams whether this one is late. Only the first call
-// counts.
+// sampleLatency records with the service's StreamLimiter whether this stream is late. Only the first
+// call counts.
 func (k *call) sampleLatency(now time.Duration, late bool) {
 	if k.latencySampled.CompareAndSwap(false, true) {
 		k.StreamLimiter(k.service.Name).Observe(now, late)
 	}
 }
 
-// startFirstEventTimer counts a stream as late as soon as its first event is late. When engines are
-// overloaded most callers disconnect before that event.
+// startFirstEventTimer counts a stream as late once the route's target latency, or defaultTimeout if
+// it has none, passes without an event. It does not wait for a late first event, since most callers
+// disconnect before that event when engines are overloaded.
 func (k *call) startFirstEventTimer(a *attempt) *time.Timer {
 	target := k.route.TargetLatency
 	if target <= 0 {
@@ -259,7 +261,8 @@
 	})
 }
 
-// recordNoFirstEvent records an attempt that ended late and without an event.
+// recordNoFirstEvent records the delay of an attempt that ended without an event, after the route's
+// target latency.
 func (k *call) recordNoFirstEvent(a *attempt) {
 	if now := k.Now(); a.repaths.Load() == 0 && now-a.sentAt > k.route.TargetLatency {
 		k.Balancer.RecordFirstEventDelay(a.lease, now, now-a.sentAt)
