--- a/connector/connector.go
+++ b/connector/connector.go
@@ -2,8 +2,8 @@
 // reports for each failure whether the request may have run.
 //
 // net/http's Transport resends a request by itself when a reused connection fails: no retry
-// budget counts that, and a booking may run twice. This package sends each request once.
-// Responses are parsed by the standard library.
+// budget counts that, and a request that is not idempotent may run twice. This package sends each
+// request once. Responses are parsed by the standard library.
 package connector
 
 import (
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// TestNoResend guards against resending a request when a reused connection breaks, as the standard
-// client does: a booking that may have run must be reported as such and not run twice.
+// TestNoResend guards against resending a request when a reused connection breaks, as net/http's
+// client does: one that must run at most once must fail with Sent set and must not run twice.
 func TestNoResend(t *testing.T) {
 	got := 0
 	runScript(t, func(_ int, c net.Conn, br *bufio.Reader) {
