--- a/streamer/client.go
+++ b/streamer/client.go
@@ -38,7 +38,7 @@
 	Generate(ctx context.Context, address string, g *GenerateRequest) (Frames, error)
 }
 
-// Client is an Engine that talks to engines over HTTP; the response is one JSON frame a line.
+// Client is an Engine that calls engines over HTTP; the response holds one JSON frame per line.
 type Client struct {
 	HTTP *http.Client
 }
@@ -88,7 +88,7 @@
 	return e
 }
 
-// lineFrames reads one JSON frame a line.
+// lineFrames reads frames from a response with one JSON frame per line.
 type lineFrames struct {
 	body io.ReadCloser
 	r    *bufio.Reader
--- a/streamer/watchdog.go
+++ b/streamer/watchdog.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// maxSilenceFactor times the silence limit ends an attempt even if all its stages respond: then the
-// sequence itself is lost.
+// maxSilenceFactor times the silence limit is the silence that ends an attempt even if all its stages
+// respond: then the stages have lost the sequence.
 const maxSilenceFactor = 32
 
 // watchdog cancels an attempt whose stream is silent.
 //
-// A frozen stage or a link that drops packets breaks no connection, so that no error ends the
-// stream. After the silence limit the stages are probed. When one does not respond the attempt is
-// canceled, which cancels it upstream too, and the next attempt avoids that stage.
+// A stage whose process hangs or a link that drops packets breaks no connection, so that no error
+// ends the stream. After the silence limit the stages are probed. When one does not respond the
+// attempt is canceled, which also cancels it at the stages, and the next attempt avoids that stage.
 //
 // Silence alone does not prove a fault: under load the tokens of all streams are late at once, and
 // rerouting the streams only adds load. While all stages respond, the limit therefore doubles, up
