--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -3,8 +3,8 @@
 // A request for which there is no capacity waits in a queue that is ordered by priority, then by
 // the work that its workspace was served (least first), then by arrival. A request that could not
 // start before its deadline is refused at once, with the time after which a retry can succeed.
-// Requests whose callers give up leave the queue. The package does no I/O; what a slot is, the
-// caller's try function decides.
+// Requests whose callers give up leave the queue. The package does no I/O; the caller's try function
+// defines what a slot is.
 package admitter
 
 import (
@@ -48,7 +48,7 @@
 	ReasonMalformed
 	// ReasonTooLarge: the request's body exceeds the limit.
 	ReasonTooLarge
-	// ReasonUnknown: there is no such path, pipeline, service or call.
+	// ReasonUnknown: the path, pipeline, service or call does not exist.
 	ReasonUnknown
 	// ReasonNoKey: a call that is not idempotent has no idempotency key.
 	ReasonNoKey
@@ -72,7 +72,7 @@
 	ReasonUpstreamLimit
 )
 
-// Refusal is the error that tells a caller why its request was not served.
+// Refusal is the error for a request that was not served; it holds the reason.
 type Refusal struct {
 	// Reason is never ReasonNone.
 	Reason Reason
@@ -108,8 +108,8 @@
 	ServiceTime time.Duration
 }
 
-// Admitter grants slots of type T, such as a route, and queues the requests for which there is
-// none. It is safe for concurrent use; MaxQueued is set before use.
+// Admitter grants slots of type T, for example routes, and queues the requests for which no slot is
+// free. It is safe for concurrent use; MaxQueued is set before use.
 type Admitter[T any] struct {
 	// MaxQueued is the maximum number of waiting requests over all groups.
 	MaxQueued int
@@ -295,8 +295,8 @@
 }
 
 // fairnessKey orders requests of equal priority by the work that their workspaces were served. A
-// workspace that was idle starts level with the least served one, so that it can't claim the share
-// that it did not use.
+// workspace that was idle starts with the work of the least served one, so that it can't claim the
+// share that it did not use.
 func (a *Admitter[T]) fairnessKey(tk Ticket) float64 {
 	least := math.Inf(1)
 	for _, v := range a.served {
--- a/admitter/window.go
+++ b/admitter/window.go
@@ -8,7 +8,8 @@
 // WindowRetryBudget is a retry budget over a sliding window: all hosts together may make retries
 // for a fraction of the requests in the window, plus a fixed number. It needs no messages between
 // hosts: each one keeps to the ratio of its own requests and to its share of the fixed number, so
-// that the total is kept. It is safe for concurrent use; the exported fields are set before use.
+// that all together stay within the budget. It is safe for concurrent use; the exported fields are
+// set before use.
 type WindowRetryBudget struct {
 	// Ratio is the number of retries that each request allows.
 	Ratio float64
