--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -300,13 +300,14 @@
 }
 
 // takeoverDelay is how long a data centre must have had no host before a host of another data
-// centre takes its duty. It is longer than a restart, and than a brief spell in which the store
-// rejects a host.
+// centre takes its duty, see claimableDuties. It is longer than a restart, and than a short period
+// in which the store rejects a host.
 const takeoverDelay = 1500 * time.Millisecond
 
 // claimableDuties returns the data centres whose duty this host should take: its own, and, on the
-// host with the lowest name, those that have upstreams and no host. Hosts prefer their own data
-// centre, since they detect failures of its upstreams first.
+// host with the lowest name, those that have upstreams and no host. Only the holder of a data
+// centre's duty gives orders to its engines. Hosts prefer their own data centre, since they detect
+// failures of its upstreams first.
 func (h *Host) claimableDuties() []string {
 	own := h.Settings.DataCentre
 	hosted := map[string]bool{own: true}
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -189,8 +189,8 @@
 	})
 }
 
-// TestStreamNotResumable guards against a broken stream that the caller can't tell from a complete
-// one.
+// TestStreamNotResumable guards against a broken stream that the caller can't distinguish from a
+// complete one.
 func TestStreamNotResumable(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
@@ -318,7 +318,7 @@
 				}
 				is.True(b.crashes.Load() <= 3)
 				r := b.request(http.MethodPost, path, "last", poison)
-				b.assertRetryLater(r) // as not executed
+				b.assertRetryLater(r) // the refusal says that it was not executed
 				is.Equal(b.runs("last"), 0)
 				is.Equal(b.request(http.MethodPost, path, "good", nil).status, http.StatusOK)
 			})
