--- a/faker/conn.go
+++ b/faker/conn.go
@@ -21,9 +21,9 @@
 
 // conn is one end of an in-memory connection. Like a kernel socket, it buffers writes instead of
 // waiting for the other end to read. net/http holds a lock while it closes a TLS connection, which
-// writes an alert. Over a bare net.Pipe, both ends blocked in that write while a third goroutine
-// waited for the lock. Virtual time does not advance while a goroutine waits for a lock, so the
-// write deadlines never passed.
+// writes an alert. Over a bare net.Pipe, both ends block in that write while a third goroutine
+// waits for the lock. Virtual time does not advance while a goroutine waits for a lock, so the
+// write deadlines never pass.
 type conn struct {
 	// Conn is the end of a net.Pipe.
 	net.Conn
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -294,7 +294,7 @@
 	return out
 }
 
-// runBatches runs iterations until dead is closed. wake tells it that a step is waiting.
+// runBatches runs iterations until dead is closed. A value in wake means that a step is waiting.
 func (e *Engine) runBatches(dead, wake chan struct{}) {
 	for {
 		finished, d := e.nextBatch()
--- a/faker/stage.go
+++ b/faker/stage.go
@@ -49,7 +49,7 @@
 	// ResponseDelay is the time before a response that is not a stream.
 	ResponseDelay time.Duration
 	// Crash is called in its own goroutine for a request whose body contains Poison; nil means
-	// that such a request is answered like any other.
+	// that the request is answered normally.
 	Crash func()
 
 	mu        sync.Mutex
--- a/faker/world.go
+++ b/faker/world.go
@@ -10,7 +10,7 @@
 	"github.com/sardineward/sardineward/builder"
 )
 
-// Environment is the complete environment of the system: platform, list of hosts, engines and plain
+// Environment simulates what entry hosts depend on: platform, list of hosts, engines and plain
 // services. Configuration, Listen and the addresses are set before Start, which sets the others.
 type Environment struct {
 	Configuration *builder.Configuration
