--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -105,7 +105,7 @@
 func TestAbandonedStreamsShedLoad(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		const perSecond, seconds, patience = 40, 10, 2 * time.Second
+		const perSecond, seconds, callerTimeout = 40, 10, 2 * time.Second
 		faults := make([]faker.StageFault, perSecond*seconds)
 		for i := range faults {
 			faults[i] = faker.StageFaultSilent
@@ -115,7 +115,7 @@
 		var wg sync.WaitGroup
 		for n := range perSecond * seconds {
 			wg.Go(func() {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 				defer cancel()
 				r := b.request(http.MethodPost, "/stream/1", fmt.Sprint("r", n), func(r *http.Request) { *r = *r.WithContext(ctx) })
 				if r.err == nil && r.status == http.StatusServiceUnavailable && r.took < 50*time.Millisecond && n >= perSecond*seconds/2 {
