--- a/forwarder/quarantine_test.go
+++ b/forwarder/quarantine_test.go
@@ -20,11 +20,11 @@
 // disconnected during the check.
 func TestCallerGoneInCheck(t *testing.T) {
 	is := is.New(t)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	b := &balancer.Balancer{Rand: rand.New(rand.NewPCG(1, 1))}
 	b.UpdateUpstreams([]balancer.Upstream{{ID: "one", Service: "desk", Address: "10.0.0.1:1", StartedAt: 1}}, nil)
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-		leave()
+		disconnect()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
