--- a/launcher/limit_test.go
+++ b/launcher/limit_test.go
@@ -82,7 +82,7 @@
 				step("1", settle, 4, 15)
 				step("8", settle, 40, 90)
 				step("0", settle, 0, 2)
-				step("", 40*time.Second, 150, 600) // hosts notice it in rare responses only
+				step("", 40*time.Second, 150, 600) // hosts notice the end of the limit only in rare responses
 				is.Equal(fl.count(http.StatusServiceUnavailable), 0)
 			})
 		})
