--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -105,7 +105,7 @@
 func TestAbandonedStreamsShedLoad(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
-		const perSecond, seconds, patience = 40, 10, 2 * time.Second
+		const perSecond, seconds, callerTimeout = 40, 10, 2 * time.Second
 		faults := make([]faker.StageFault, perSecond*seconds)
 		for i := range faults {
 			faults[i] = faker.StageFaultSilent
@@ -115,7 +115,7 @@
 		var wg sync.WaitGroup
 		for n := range perSecond * seconds {
 			wg.Go(func() {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 				defer cancel()
 				r := b.request(http.MethodPost, "/stream/1", fmt.Sprint("r", n), func(r *http.Request) { *r = *r.WithContext(ctx) })
 				if r.err == nil && r.status == http.StatusServiceUnavailable && r.took < 50*time.Millisecond && n >= perSecond*seconds/2 {
@@ -189,8 +189,8 @@
 	})
 }
 
-// TestStreamNotResumable guards against a broken stream that the caller can't tell from a complete
-// one.
+// TestStreamNotResumable guards against a broken stream that the caller can't distinguish from a
+// complete one.
 func TestStreamNotResumable(t *testing.T) {
 	runHost(t, 0, func(b *testbed) {
 		is := is.New(t)
@@ -318,7 +318,7 @@
 				}
 				is.True(b.crashes.Load() <= 3)
 				r := b.request(http.MethodPost, path, "last", poison)
-				b.assertRetryLater(r) // as not executed
+				b.assertRetryLater(r) // the refusal says that it was not executed
 				is.Equal(b.runs("last"), 0)
 				is.Equal(b.request(http.MethodPost, path, "good", nil).status, http.StatusOK)
 			})
