--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -29,12 +29,12 @@
 
 // cluster is a set of entry hosts and the faker.World behind them, all in memory.
 type cluster struct {
-	t     *testing.T
-	net   *faker.Network
-	world *faker.Environment
-	hosts []*testHost
-	log   *logBuffer
-	seed  uint64
+	t           *testing.T
+	net         *faker.Network
+	environment *faker.Environment
+	hosts       []*testHost
+	log         *logBuffer
+	seed        uint64
 	// tls is set on every host; nil means plain connections.
 	tls *loader.TLS
 }
@@ -125,11 +125,11 @@
 	}
 	b.net.SetLocation("10.9.0.1:1", platformSite)
 	b.net.SetLocation("10.9.0.1:2", platformSite)
-	b.world = &faker.Environment{
+	b.environment = &faker.Environment{
 		Configuration: cfg, Listen: b.net.Listen,
 		PlatformAddress: "10.9.0.1:1", HostListAddress: "10.9.0.1:2",
 	}
-	is.New(t).NoErr(b.world.Start())
+	is.New(t).NoErr(b.environment.Start())
 	return b
 }
 
@@ -195,7 +195,7 @@
 			b.kill(i)
 		}
 	}
-	b.world.Close()
+	b.environment.Close()
 	// Requests that the services still process end within this time.
 	time.Sleep(10 * time.Second)
 	if b.t.Failed() && testing.Verbose() {
@@ -227,7 +227,7 @@
 	b.t.Helper()
 	src, err := builder.Canonical(cfg)
 	is.New(b.t).NoErr(err)
-	rev, err := watcher.Submit(context.Background(), b.world.Platform, src, base, fmt.Sprint("s", base, rand.Int()), "test")
+	rev, err := watcher.Submit(context.Background(), b.environment.Platform, src, base, fmt.Sprint("s", base, rand.Int()), "test")
 	is.New(b.t).NoErr(err)
 	return rev
 }
@@ -352,8 +352,8 @@
 	is.Equal(r.refusal.Reason, reason)
 	is.Equal(r.refusal.NotRun, notRun)
 	if notRun {
-		is.Equal(b.world.Fleet.Attempts(r.refusal.RequestID), 0)
-		is.Equal(b.world.Services["desk"].Requests(r.refusal.RequestID), 0)
+		is.Equal(b.environment.Fleet.Attempts(r.refusal.RequestID), 0)
+		is.Equal(b.environment.Services["desk"].Requests(r.refusal.RequestID), 0)
 	}
 }
 
--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -16,7 +16,7 @@
 // busiest returns the engine that runs the most sequences.
 func (b *cluster) busiest() *faker.Engine {
 	var best *faker.Engine
-	for _, e := range b.world.Fleet.Engines() {
+	for _, e := range b.environment.Fleet.Engines() {
 		if best == nil || e.Running() > best.Running() {
 			best = e
 		}
@@ -47,7 +47,7 @@
 // next token on another route.
 func TestStageKilled(t *testing.T) {
 	runCluster(t, 10, func(b *cluster) {
-		b.assertFaultTolerated(func(e *faker.Engine) { b.world.Kill(e.Upstream.Name) })
+		b.assertFaultTolerated(func(e *faker.Engine) { b.environment.Kill(e.Upstream.Name) })
 	})
 }
 
@@ -86,7 +86,7 @@
 // take longer or move, and stay complete.
 func TestSlowLink(t *testing.T) {
 	runCluster(t, 14, func(b *cluster) {
-		b.assertFaultTolerated(func(*faker.Engine) { b.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
+		b.assertFaultTolerated(func(*faker.Engine) { b.environment.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
 	})
 }
 
@@ -94,9 +94,9 @@
 func TestDataCentreLost(t *testing.T) {
 	runCluster(t, 15, func(b *cluster) {
 		b.assertFaultTolerated(func(*faker.Engine) {
-			for _, e := range b.world.Fleet.Engines() {
+			for _, e := range b.environment.Fleet.Engines() {
 				if e.Upstream.DataCentre == "port" {
-					b.world.Kill(e.Upstream.Name)
+					b.environment.Kill(e.Upstream.Name)
 				}
 			}
 		})
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -36,7 +36,7 @@
 // the other hosts from urgent gossip.
 func TestLeavingSeen(t *testing.T) {
 	runCluster(t, 30, func(b *cluster) {
-		e := b.world.Fleet.Engine("port-front-0")
+		e := b.environment.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, e.Leave)
 	})
 }
@@ -45,9 +45,9 @@
 // accepts all requests itself.
 func TestLeavingListed(t *testing.T) {
 	runCluster(t, 31, func(b *cluster) {
-		e := b.world.Fleet.Engine("port-front-0")
+		e := b.environment.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, func() {
-			b.world.HostList.Set(prober.ListedHost{Name: "port-front-0", Incarnation: e.Load().Incarnation, Leaving: true})
+			b.environment.HostList.Set(prober.ListedHost{Name: "port-front-0", Incarnation: e.Load().Incarnation, Leaving: true})
 		})
 	})
 }
@@ -55,7 +55,7 @@
 // TestLeavingDrained checks an engine that an operator drains through one host.
 func TestLeavingDrained(t *testing.T) {
 	runCluster(t, 32, func(b *cluster) {
-		e := b.world.Fleet.Engine("port-front-0")
+		e := b.environment.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, func() {
 			r := b.admin(2, "/admin/v1/drain/port-front-0", "")
 			is.New(t).Equal(r.status, 200)
@@ -68,13 +68,13 @@
 // run.
 func TestLeavingGossipCut(t *testing.T) {
 	runCluster(t, 33, func(b *cluster) {
-		b.world.HostList.Delay = time.Minute
+		b.environment.HostList.Delay = time.Minute
 		for i := range 4 {
 			for j := range i {
 				b.net.Partition(fmt.Sprintf("peer%d", i), fmt.Sprintf("peer%d", j))
 			}
 		}
-		e := b.world.Fleet.Engine("port-front-0")
+		e := b.environment.Fleet.Engine("port-front-0")
 		b.assertNoNewWork(e, e.Leave)
 	})
 }
@@ -83,10 +83,10 @@
 // still carries the leaving state of its earlier incarnation.
 func TestLeavingAndBack(t *testing.T) {
 	runCluster(t, 34, func(b *cluster) {
-		e := b.world.Fleet.Engine("port-front-0")
+		e := b.environment.Fleet.Engine("port-front-0")
 		e.Leave()
 		time.Sleep(5 * time.Second)
-		is.New(t).NoErr(b.world.Restart("port-front-0"))
+		is.New(t).NoErr(b.environment.Restart("port-front-0"))
 		before := e.SequencesStarted()
 		stop := b.generateLoad(1, 10, func(reply) {})
 		defer stop()
@@ -100,7 +100,7 @@
 	for name, out := range map[string]bool{"platform up": false, "platform out": true} {
 		t.Run(name, func(t *testing.T) {
 			runCluster(t, 35, func(b *cluster) {
-				b.world.Platform.SetFaults(faker.Faults{Unavailable: out})
+				b.environment.Platform.SetFaults(faker.Faults{Unavailable: out})
 				for i := range 4 {
 					b.replace(i)
 				}
--- a/runner/once_test.go
+++ b/runner/once_test.go
@@ -21,14 +21,14 @@
 // assertRanOnce checks that a booking ran exactly once.
 func (b *cluster) assertRanOnce(id string) {
 	b.t.Helper()
-	is.New(b.t).Equal(b.world.Services["desk"].Runs(id), 1)
+	is.New(b.t).Equal(b.environment.Services["desk"].Runs(id), 1)
 }
 
 // TestRepeatsAtOnce guards against a call that runs once per host when all hosts get it at once.
 // One host claims it; the others answer with its outcome or refuse it as running.
 func TestRepeatsAtOnce(t *testing.T) {
 	runCluster(t, 20, func(b *cluster) {
-		b.world.Services["desk"].SetDelay(300 * time.Millisecond)
+		b.environment.Services["desk"].SetDelay(300 * time.Millisecond)
 		for n := range 5 {
 			id := fmt.Sprint("lot ", n)
 			var wg sync.WaitGroup
@@ -51,7 +51,7 @@
 // claim of a dead host.
 func TestJoinedHostAsked(t *testing.T) {
 	runCluster(t, 31, func(b *cluster) {
-		b.world.Services["desk"].SetDelay(2 * time.Second)
+		b.environment.Services["desk"].SetDelay(2 * time.Second)
 		b.start(initialHosts)
 		b.await(10*time.Second, b.hosts[initialHosts].Ready)
 		first := make(chan reply, 1)
@@ -68,7 +68,7 @@
 func TestLostWriteAnswer(t *testing.T) {
 	runCluster(t, 21, func(b *cluster) {
 		lost := 0
-		b.world.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
+		b.environment.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
 			lost++
 			return lost%2 == 1
 		}})
@@ -86,12 +86,12 @@
 // generations and idempotent calls go on, and that the booking runs once afterwards.
 func TestPlatformOut(t *testing.T) {
 	runCluster(t, 22, func(b *cluster) {
-		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
+		b.environment.Platform.SetFaults(faker.Faults{Unavailable: true})
 		r := b.post(0, bookings, booking("lot"), nil)
 		b.assertRefused(r, "platform", true)
 		is.New(t).Equal(b.post(0, "/services/desk/search", "{}", nil).status, 200)
 		b.assertComplete(b.generate(context.Background(), 0, "p", 5), "p", 5)
-		b.world.Platform.SetFaults(faker.Faults{})
+		b.environment.Platform.SetFaults(faker.Faults{})
 		is.New(t).Equal(b.post(0, bookings, booking("lot"), nil).status, 200)
 		b.assertRanOnce("lot")
 	})
@@ -101,16 +101,16 @@
 // caller gets the answer, and a repeat is refused until the outcome is recorded.
 func TestPlatformLostDuring(t *testing.T) {
 	runCluster(t, 23, func(b *cluster) {
-		b.world.Services["desk"].SetDelay(time.Second)
+		b.environment.Services["desk"].SetDelay(time.Second)
 		done := make(chan reply)
 		go func() { done <- b.post(0, bookings, booking("lot"), nil) }()
 		time.Sleep(500 * time.Millisecond)
-		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
+		b.environment.Platform.SetFaults(faker.Faults{Unavailable: true})
 		is := is.New(t)
 		first := <-done
 		is.Equal(first.status, 200)
 		b.assertRefused(b.post(1, bookings, booking("lot"), nil), "platform", true)
-		b.world.Platform.SetFaults(faker.Faults{})
+		b.environment.Platform.SetFaults(faker.Faults{})
 		b.await(15*time.Second, func() bool { return b.post(1, bookings, booking("lot"), nil).body == first.body })
 		b.assertRanOnce("lot")
 	})
@@ -120,7 +120,7 @@
 // repeat through another host must neither run the booking nor report it as not run.
 func TestHostKilledAfterSend(t *testing.T) {
 	runCluster(t, 24, func(b *cluster) {
-		b.world.Services["desk"].SetDelay(2 * time.Second)
+		b.environment.Services["desk"].SetDelay(2 * time.Second)
 		go b.post(0, bookings, booking("lot"), nil)
 		time.Sleep(time.Second)
 		b.kill(0)
@@ -138,9 +138,9 @@
 // connection broke before the answer, and a retry on another instance would run it again.
 func TestAnswerLostUpstream(t *testing.T) {
 	runCluster(t, 25, func(b *cluster) {
-		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
+		b.environment.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		b.assertRefused(b.post(0, bookings, booking("lot"), nil), "outcomeUnknown", false)
-		b.world.Services["desk"].DropResponseWhen(nil)
+		b.environment.Services["desk"].DropResponseWhen(nil)
 		b.await(5*time.Second, func() bool {
 			r := b.post(1, bookings, booking("lot"), nil)
 			return r.refusal != nil && r.refusal.Reason == "outcomeUnknown"
@@ -166,12 +166,12 @@
 func TestAbandonedTakenOver(t *testing.T) {
 	runCluster(t, 27, func(b *cluster) {
 		for _, dc := range dataCentres {
-			b.world.Kill(dc + "-desk-0")
+			b.environment.Kill(dc + "-desk-0")
 		}
 		r := b.post(0, bookings, booking("lot"), map[string]string{"Deadline-Ms": "3000"})
 		b.assertRefused(r, "noRoute", true)
 		for _, dc := range dataCentres {
-			is.New(t).NoErr(b.world.Restart(dc + "-desk-0"))
+			is.New(t).NoErr(b.environment.Restart(dc + "-desk-0"))
 		}
 		time.Sleep(5 * time.Second)
 		is.New(t).Equal(b.post(2, bookings, booking("lot"), nil).status, 200)
@@ -184,7 +184,7 @@
 func TestKeyedEmptyBody(t *testing.T) {
 	runCluster(t, 28, func(b *cluster) {
 		fail := false
-		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return fail })
+		b.environment.Services["desk"].DropResponseWhen(func(*http.Request) bool { return fail })
 		for n := range 6 {
 			fail = n%2 == 1
 			b.post(0, bookings, "", map[string]string{"Idempotency-Key": fmt.Sprint("k", n)})
@@ -196,7 +196,7 @@
 // TestSingleShot checks that a call declared single-shot, which has no key, is sent at most once.
 func TestSingleShot(t *testing.T) {
 	runCluster(t, 29, func(b *cluster) {
-		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
+		b.environment.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		b.assertRefused(b.post(0, "/services/desk/once", "{}", nil), "outcomeUnknown", false)
 		b.assertRanOnce("")
 	})
--- a/runner/path_test.go
+++ b/runner/path_test.go
@@ -20,7 +20,7 @@
 			is := is.New(t)
 			is.Equal(first.status, 200)
 			is.Equal(again.body, first.body)
-			is.Equal(b.world.Services["desk"].Runs(fmt.Sprint("b-", i)), 1)
+			is.Equal(b.environment.Services["desk"].Runs(fmt.Sprint("b-", i)), 1)
 		}
 	})
 }
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -150,7 +150,7 @@
 // checkNotRun checks that no upstream started a request that was refused as not run.
 func (c *chaos) checkNotRun(r reply) {
 	id := r.refusal.RequestID
-	if r.refusal.NotRun && c.world.Fleet.Attempts(id)+c.world.Services["desk"].Requests(id) > 0 {
+	if r.refusal.NotRun && c.environment.Fleet.Attempts(id)+c.environment.Services["desk"].Requests(id) > 0 {
 		c.t.Errorf("request %s was refused as not run, but an upstream started it: %+v", id, r.refusal)
 	}
 }
@@ -194,19 +194,19 @@
 // injectFault injects one random fault and schedules its undoing.
 func (c *chaos) injectFault() {
 	wait := func() time.Duration { return time.Duration(1+c.rnd.IntN(20)) * time.Second }
-	engines := c.world.Fleet.Engines()
+	engines := c.environment.Fleet.Engines()
 	e := engines[c.rnd.IntN(len(engines))]
 	d := wait()
 	switch c.rnd.IntN(12) {
 	case 0, 1:
-		c.world.Kill(e.Upstream.Name)
-		c.undoAfter(d, func() { _ = c.world.Restart(e.Upstream.Name) })
+		c.environment.Kill(e.Upstream.Name)
+		c.undoAfter(d, func() { _ = c.environment.Restart(e.Upstream.Name) })
 	case 2:
 		e.Pause()
 		c.undoAfter(d, e.Resume)
 	case 3:
 		e.Leave()
-		c.undoAfter(d, func() { _ = c.world.Restart(e.Upstream.Name) })
+		c.undoAfter(d, func() { _ = c.environment.Restart(e.Upstream.Name) })
 	case 4:
 		c.platformFault(faker.Faults{Unavailable: true}, d)
 	case 5:
@@ -222,8 +222,8 @@
 	case 8:
 		c.restartHost(c.rnd.IntN(4), c.rnd.IntN(2) == 0, d)
 	case 9:
-		c.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond)
-		c.undoAfter(d, func() { c.world.Fleet.SetExtraLatency("north", "port", 0) })
+		c.environment.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond)
+		c.undoAfter(d, func() { c.environment.Fleet.SetExtraLatency("north", "port", 0) })
 	case 10:
 		c.reconfigure()
 	case 11:
@@ -242,9 +242,9 @@
 		return
 	}
 	c.platformFaulty = true
-	c.world.Platform.SetFaults(f)
+	c.environment.Platform.SetFaults(f)
 	c.undoAfter(d, func() {
-		c.world.Platform.SetFaults(faker.Faults{})
+		c.environment.Platform.SetFaults(faker.Faults{})
 		c.platformFaulty = false
 	})
 }
@@ -308,7 +308,7 @@
 }
 
 func (c *chaos) checkResults() {
-	for id, n := range c.world.Services["desk"].AllRuns() {
+	for id, n := range c.environment.Services["desk"].AllRuns() {
 		if n > 1 {
 			c.t.Errorf("booking %q ran %d times", id, n)
 		}
--- a/runner/refusal_test.go
+++ b/runner/refusal_test.go
@@ -74,9 +74,9 @@
 // is refused when its deadline can no longer be met.
 func TestRefusedDeadline(t *testing.T) {
 	runCluster(t, 43, func(b *cluster) {
-		for _, e := range b.world.Fleet.Engines() {
+		for _, e := range b.environment.Fleet.Engines() {
 			if e.Upstream.FirstLayer == 0 {
-				b.world.Kill(e.Upstream.Name)
+				b.environment.Kill(e.Upstream.Name)
 			}
 		}
 		time.Sleep(3 * time.Second)
@@ -89,8 +89,8 @@
 // TestRefusedQueueFull sends one request more than the queue of a host holds.
 func TestRefusedQueueFull(t *testing.T) {
 	runCluster(t, 44, func(b *cluster) {
-		for _, e := range b.world.Fleet.Engines() {
-			b.world.Kill(e.Upstream.Name)
+		for _, e := range b.environment.Fleet.Engines() {
+			b.environment.Kill(e.Upstream.Name)
 		}
 		time.Sleep(3 * time.Second)
 		most := b.settings(0).Limits.Queued
@@ -114,7 +114,7 @@
 		for i := range b.hosts {
 			b.kill(i)
 		}
-		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
+		b.environment.Platform.SetFaults(faker.Faults{Unavailable: true})
 		e := b.start(0)
 		time.Sleep(time.Second)
 		is.New(t).True(!e.Ready())
@@ -153,7 +153,7 @@
 		}
 		stop()
 		crashes := 0
-		for _, e := range b.world.Fleet.Engines() {
+		for _, e := range b.environment.Fleet.Engines() {
 			crashes += e.Crashes
 		}
 		t.Logf("%d engines crashed", crashes)
@@ -165,7 +165,7 @@
 // calls are retried only from the retry budget.
 func TestRetryBudget(t *testing.T) {
 	runCluster(t, 48, func(b *cluster) {
-		b.world.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
+		b.environment.Services["desk"].DropResponseWhen(func(*http.Request) bool { return true })
 		sent := 0
 		for n := range 300 {
 			r := b.post(n%4, "/services/desk/search", fmt.Sprintf(`{"n":%d}`, n), map[string]string{"Deadline-Ms": "3000"})
@@ -173,7 +173,7 @@
 			sent++
 			time.Sleep(200 * time.Millisecond)
 		}
-		reached := b.world.Services["desk"].TotalRequests()
+		reached := b.environment.Services["desk"].TotalRequests()
 		t.Logf("%d calls came to the service from %d requests", reached, sent)
 		is.New(t).True(reached <= sent+4*20)
 	})
@@ -186,7 +186,7 @@
 		defer cancel()
 		b.generate(ctx, 0, "gone", 10000)
 		time.Sleep(time.Second)
-		for _, e := range b.world.Fleet.Engines() {
+		for _, e := range b.environment.Fleet.Engines() {
 			is.New(t).Equal(e.Running(), 0)
 		}
 	})
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -30,7 +30,7 @@
 			c.WeightStoreBytesPerSecond = int(base)*2 + n + 1
 			src, err := builder.Canonical(&c)
 			if err == nil {
-				revs[n], err = watcher.Submit(ctx, b.world.Platform, src, base, fmt.Sprintf("%d-%d", base, n), fmt.Sprint("operator ", n))
+				revs[n], err = watcher.Submit(ctx, b.environment.Platform, src, base, fmt.Sprintf("%d-%d", base, n), fmt.Sprint("operator ", n))
 			}
 			errs[n] = err
 			done <- n
@@ -62,7 +62,7 @@
 func TestLostSubmission(t *testing.T) {
 	runCluster(t, 3, func(b *cluster) {
 		lost := 0
-		b.world.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
+		b.environment.Platform.SetFaults(faker.Faults{LoseResponse: func(storer.Write) bool {
 			lost++
 			return lost <= 3
 		}})
@@ -75,10 +75,10 @@
 // answers from an old copy after a failover. Hosts only move to a higher revision.
 func TestStalePlatform(t *testing.T) {
 	runCluster(t, 4, func(b *cluster) {
-		b.world.Platform.TakeSnapshot()
+		b.environment.Platform.TakeSnapshot()
 		b.submit(1, configuration())
 		b.awaitRevision(8*time.Second, 2)
-		b.world.Platform.SetFaults(faker.Faults{Stale: true})
+		b.environment.Platform.SetFaults(faker.Faults{Stale: true})
 		b.kill(0)
 		time.Sleep(time.Minute)
 		b.start(0)
@@ -92,7 +92,7 @@
 // has a configuration, and takes the one of its peers.
 func TestFreshHost(t *testing.T) {
 	runCluster(t, 5, func(b *cluster) {
-		b.world.Platform.SetFaults(faker.Faults{Unavailable: true})
+		b.environment.Platform.SetFaults(faker.Faults{Unavailable: true})
 		b.kill(1)
 		e := b.start(1)
 		is.New(t).True(!e.Ready())
