--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -251,13 +251,13 @@
 
 // restartHost stops or kills a host, and starts it again once it has ended. Callers keep sending
 // requests to its address meanwhile.
-func (c *chaos) restartHost(i int, gently bool, d time.Duration) {
+func (c *chaos) restartHost(i int, graceful bool, d time.Duration) {
 	e := c.hosts[i]
 	if e == nil {
 		return
 	}
 	c.hosts[i] = nil
-	if gently {
+	if graceful {
 		e.stop()
 	} else {
 		e.Kill()
