--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -232,7 +232,7 @@
 // time, the guarantees for undisturbed hosts would never be tested.
 func (r *Run) injectFaults(ctx context.Context, wg *sync.WaitGroup) {
 	rnd := rand.New(rand.NewPCG(r.Seed, 0))
-	faults := []faultFunc{killHost, pauseHost, stopHost, disruptStoreLink, crashUpstream, disruptUpstreamLink, leaveUpstream, revokeKeys, moveRoute, troubleUpstream, limitUpstream, restoreStore}
+	faults := []faultFunc{killHost, pauseHost, stopHost, disruptStoreLink, crashUpstream, disruptUpstreamLink, leaveUpstream, revokeKeys, moveRoute, failUpstreamRequests, limitUpstream, restoreStore}
 	rnd.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
 	faults = faults[:3+rnd.IntN(len(faults)-2)]
 	maxGapMs := 300 + rnd.IntN(1500)
@@ -430,8 +430,8 @@
 // troublesInRow is the number of requests in a row that an upstream fails.
 const troublesInRow = 12
 
-// troubleUpstream makes a random upstream fail its next requests in random ways.
-func troubleUpstream(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
+// failUpstreamRequests makes a random upstream fail its next requests in random ways.
+func failUpstreamRequests(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
 	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
 	list := []faker.StageFault{faker.StageFaultOverloaded, faker.StageFaultReset, faker.StageFaultStatus500, faker.StageFaultWrongResponse, faker.StageFaultUnsigned, faker.StageFaultBrokenStream}
 	r.recordFault("trouble "+u.ID, -1, 0, false)
