--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -427,15 +427,15 @@
 	r.recordFault("move", -1, 0, true)
 }
 
-// troublesInRow is the number of requests in a row that an upstream fails.
-const troublesInRow = 12
+// failedRequestsInRow is the number of requests in a row that an upstream fails.
+const failedRequestsInRow = 12
 
 // failUpstreamRequests makes a random upstream fail its next requests in random ways.
 func failUpstreamRequests(r *Run, rnd *rand.Rand, _ int, _ time.Duration) {
 	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
 	list := []faker.StageFault{faker.StageFaultOverloaded, faker.StageFaultReset, faker.StageFaultStatus500, faker.StageFaultWrongResponse, faker.StageFaultUnsigned, faker.StageFaultBrokenStream}
 	r.recordFault("trouble "+u.ID, -1, 0, false)
-	next := make([]faker.StageFault, troublesInRow)
+	next := make([]faker.StageFault, failedRequestsInRow)
 	for n := range next {
 		next[n] = list[rnd.IntN(len(list))]
 	}
