--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -87,9 +87,9 @@
 func devControl(source *faker.Directory, stages map[string]*faker.Stage) http.Handler {
 	// A request that is turned away is retried three times, so four faults refuse it for good.
 	full := slices.Repeat([]faker.StageFault{faker.StageFaultOverloaded}, 4)
-	troubles := map[string][]faker.StageFault{"/cut": {faker.StageFaultBrokenStream}, "/reset": {faker.StageFaultReset}, "/full": full}
+	faultsByPath := map[string][]faker.StageFault{"/cut": {faker.StageFaultBrokenStream}, "/reset": {faker.StageFaultReset}, "/full": full}
 	mux := http.NewServeMux()
-	for path, trouble := range troubles {
+	for path, trouble := range faultsByPath {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
 			for _, s := range stages {
 				s.SetFaults(trouble...)
