--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -89,10 +89,10 @@
 	full := slices.Repeat([]faker.StageFault{faker.StageFaultOverloaded}, 4)
 	faultsByPath := map[string][]faker.StageFault{"/cut": {faker.StageFaultBrokenStream}, "/reset": {faker.StageFaultReset}, "/full": full}
 	mux := http.NewServeMux()
-	for path, trouble := range faultsByPath {
+	for path, faults := range faultsByPath {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
 			for _, s := range stages {
-				s.SetFaults(trouble...)
+				s.SetFaults(faults...)
 			}
 		})
 	}
