--- a/server/server.go
+++ b/server/server.go
@@ -125,7 +125,7 @@
 	index     *configIndex
 	deadline  time.Time
 	body      []byte
-	witness   *checker.ExecutionTracker
+	execution *checker.ExecutionTracker
 	// started is set once an upstream may have started the request.
 	started bool
 	// serviceName and path are those of a plain service; path is the part after the service's
@@ -150,7 +150,7 @@
 			r:           c.Request().WithContext(ctx),
 			ctl:         http.NewResponseController(c.Response().Writer),
 			id:          s.requestID(),
-			witness:     witness,
+			execution:   witness,
 			serviceName: c.Param("service"),
 			path:        "/" + c.Param("*"),
 		}
@@ -255,7 +255,7 @@
 
 // refuse sends the refusal of a request, as an event when the stream has begun.
 func (k *call) refuse(err error) {
-	out := k.Router.Refuse(k.id, err, k.started, k.witness)
+	out := k.Router.Refuse(k.id, err, k.started, k.execution)
 	body := ErrorBody{ErrorDetail{
 		Code:       statusOf(out.Reason),
 		Reason:     out.Reason.String(),
@@ -321,6 +321,6 @@
 
 // handleUnrouted refuses requests that match no route.
 func (s *Server) handleUnrouted(err error, c echo.Context) {
-	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), witness: new(checker.ExecutionTracker)}
+	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), execution: new(checker.ExecutionTracker)}
 	k.refuse(refusal(admitter.ReasonUnknown, err.Error()))
 }
