--- a/server/server.go
+++ b/server/server.go
@@ -143,14 +143,14 @@
 		s.inFlight.Add(1)
 		defer s.openRequests.Done()
 		defer s.inFlight.Add(-1)
-		ctx, witness := checker.WithExecutionTracker(c.Request().Context())
+		ctx, execution := checker.WithExecutionTracker(c.Request().Context())
 		k := &call{
 			Server:      s,
 			w:           c.Response().Writer,
 			r:           c.Request().WithContext(ctx),
 			ctl:         http.NewResponseController(c.Response().Writer),
 			id:          s.requestID(),
-			execution:   witness,
+			execution:   execution,
 			serviceName: c.Param("service"),
 			path:        "/" + c.Param("*"),
 		}
