--- a/runner/bench_test.go
+++ b/runner/bench_test.go
@@ -27,7 +27,8 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// cluster is a set of entry hosts and the faker.World behind them, all in memory.
+// cluster is a set of entry hosts with the fake platform, engines and services that they use, all
+// in memory.
 type cluster struct {
 	t           *testing.T
 	net         *faker.Network
--- a/runner/build.go
+++ b/runner/build.go
@@ -26,10 +26,12 @@
 	"github.com/sardineward/sardineward/watcher"
 )
 
-// DefaultPolicy is the route policy with the best results in docs/MEASUREMENTS.md.
+// DefaultPolicy is the route policy of hosts whose Policy is nil. It has the best results of the
+// policies compared in docs/MEASUREMENTS.md.
 var DefaultPolicy = picker.Cheapest{Steepness: 1, Jitter: 0.1, PreferredFactor: 0.7}
 
 const (
+	// dialTimeout bounds the set-up of a TCP connection by the default Dial.
 	dialTimeout = 2 * time.Second
 	// commitTimeout is how long a call that may not be repeated waits for the platform to store
 	// its record.
--- a/runner/count.go
+++ b/runner/count.go
@@ -26,6 +26,7 @@
 	return n, err
 }
 
+// countingListener adds the bytes of the connections that it accepts to a counter.
 type countingListener struct {
 	net.Listener
 	n *atomic.Int64
--- a/runner/handlers.go
+++ b/runner/handlers.go
@@ -28,19 +28,22 @@
 	h *Host
 }
 
-// Configuration implements peer.Peer.
+// Configuration implements peer.Peer: it returns the head of the configuration or one of its parts,
+// and the revision in force here.
 func (p peerService) Configuration(_ context.Context, req *peer.ConfigurationRequest) (*peer.ConfigurationResponse, error) {
 	body, rev := p.h.configWatcher.Serve(req.Part)
 	return &peer.ConfigurationResponse{Body: body, Revision: rev}, nil
 }
 
-// Record implements peer.Peer.
+// Record implements peer.Peer: it reports whether the call that this host claimed under a nonce
+// is running or abandoned; neither when another incarnation of this host claimed it.
 func (p peerService) Record(_ context.Context, req *peer.RecordRequest) (*peer.RecordResponse, error) {
 	running, abandoned := p.h.dedup.ClaimState(req.Incarnation, req.Nonce)
 	return &peer.RecordResponse{Running: running, Abandoned: abandoned}, nil
 }
 
-// Status implements peer.Peer.
+// Status implements peer.Peer: it returns this host's revision in force, whether it is ready or
+// leaving, and its number of invariant violations.
 func (p peerService) Status(context.Context, *peer.StatusRequest) (*peer.StatusResponse, error) {
 	return &peer.StatusResponse{
 		Host:       p.h.Settings.Host,
--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -43,15 +43,15 @@
 	wg.Wait()
 }
 
-// TestStageKilled guards against streams that break when a stage dies: each must go on with the
-// next token on another route.
+// TestStageKilled guards against streams that break when a stage is killed: each must continue with
+// the next token on another route.
 func TestStageKilled(t *testing.T) {
 	runCluster(t, 10, func(b *cluster) {
 		b.assertFaultTolerated(func(e *faker.Engine) { b.environment.Kill(e.Upstream.Name) })
 	})
 }
 
-// TestStagePaused guards against streams that wait on a frozen stage until their deadline. They
+// TestStagePaused guards against streams that wait on a paused stage until their deadline. They
 // move after a silence of two expected gaps, and frames that the stage sends after it resumes are
 // dropped.
 func TestStagePaused(t *testing.T) {
--- a/runner/news.go
+++ b/runner/news.go
@@ -14,10 +14,11 @@
 	"github.com/sardineward/sardineward/tracker"
 )
 
-// announcer implements router.Announcer: it tells other hosts what this host observed.
+// announcer implements router.Announcer: it gossips what this host observed of upstreams.
 type announcer struct{ *Host }
 
-// AnnounceLeaving implements router.Announcer.
+// AnnounceLeaving implements router.Announcer: it publishes that an upstream is leaving. That holds
+// until the upstream restarts with a newer incarnation.
 func (n announcer) AnnounceLeaving(upstream string, incarnation int64) {
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_LEAVING, Key: upstream, Incarnation: incarnation, State: 1})
 }
@@ -45,7 +46,8 @@
 	n.gossip.Publish(true, &peer.Item{Kind: peer.ItemKind_ITEM_KIND_UPSTREAM, Key: upstream, Incarnation: incarnation, State: state})
 }
 
-// AnnounceStrike implements router.Announcer.
+// AnnounceStrike implements router.Announcer. A strike records that a request was in flight on an
+// upstream when it crashed. State 2 clears it, and supersedes state 1.
 func (n announcer) AnnounceStrike(s tracker.Strike) {
 	it := &peer.Item{Kind: peer.ItemKind_ITEM_KIND_STRIKE, Key: s.Key(), State: 1, Expires: s.Expires.UnixMilli()}
 	if s.Cleared {
@@ -54,11 +56,12 @@
 	n.gossip.Publish(true, it)
 }
 
-// ProbeSoon implements router.Announcer.
+// ProbeSoon implements router.Announcer: it requests probes of upstreams without waiting for them.
 func (n announcer) ProbeSoon(upstreams []string) { n.upstreamProber.ProbeNow(upstreams) }
 
-// FindUnresponsive implements router.Announcer. The probe timeout is the shortest silence that
-// counts as a stall, which is at least twice the round trip.
+// FindUnresponsive implements router.Announcer: it probes upstreams and returns one that doesn't
+// answer, or an empty name. The probe timeout is the shortest silence that counts as a stall, which
+// is at least twice the round trip.
 func (n announcer) FindUnresponsive(ctx context.Context, upstreams []string) string {
 	ctx, cancel := context.WithTimeout(ctx, ms(n.Settings.Timing.StallFloorMs))
 	defer cancel()
@@ -102,7 +105,8 @@
 // claimQuerier asks other hosts about the state of their idempotency claims.
 type claimQuerier struct{ *Host }
 
-// QueryClaim implements deduplicator.ClaimQuerier.
+// QueryClaim implements deduplicator.ClaimQuerier: it asks the host that claimed a call whether the
+// call is running or was abandoned.
 func (a claimQuerier) QueryClaim(ctx context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
 	c := a.gossip.ClientAt(rec.Host, rec.Address)
 	if c == nil {
--- a/runner/revision_test.go
+++ b/runner/revision_test.go
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestRevisionAfterPartition cuts a data centre off while a revision is submitted. It goes on
-// with the old one and takes the new one within seconds of the end of the cut.
+// TestRevisionAfterPartition cuts a data centre off while a revision is submitted. The data centre
+// serves with the old revision, and applies the new one within seconds after the partition ends.
 func TestRevisionAfterPartition(t *testing.T) {
 	runCluster(t, 6, func(b *cluster) {
 		others := []string{"north", "road", platformSite}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -205,6 +205,8 @@
 	}
 }
 
+// startLoops starts the background work of the host. Orders to engines end with ordersCtx, when the
+// graceful stop begins; all other work ends with workCtx, when the stop is complete.
 func (h *Host) startLoops(workCtx, ordersCtx context.Context, wg *sync.WaitGroup) {
 	wg.Go(func() { h.gossip.Run(workCtx) })
 	wg.Go(func() { h.configWatcher.Run(workCtx) })
@@ -248,6 +250,7 @@
 	}
 }
 
+// boundServer is an HTTP server and the open listener that it will serve.
 type boundServer struct {
 	server   *http.Server
 	listener net.Listener
