--- a/server/caller.go
+++ b/server/caller.go
@@ -14,7 +14,7 @@
 	"github.com/sardineward/sardineward/streamer"
 )
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one call of a plain service, which is an HTTP service that runs no model.
 type ServiceRequest struct {
 	Method, Path, Query, ContentType string
 	// Key is the idempotency key. It is empty for calls that may be repeated and for single-shot
--- a/server/server.go
+++ b/server/server.go
@@ -1,8 +1,8 @@
 // Package server answers callers over HTTP.
 //
 // It authenticates, reads and validates requests, and hands them to streamer (generations) or to
-// the instances of a plain service, through deduplicator when a call may not be repeated. All
-// refusals are sent by one function.
+// the instances of a plain service, which is an HTTP service that runs no model. A call that may not
+// be repeated goes through deduplicator. All refusals are sent by one function.
 package server
 
 import (
@@ -32,6 +32,7 @@
 
 // Server answers callers. The exported fields are set before Handler.
 type Server struct {
+	// Host is this host's name; request IDs begin with it.
 	Host         string
 	Limits       *loader.Limits
 	Router       *router.Router
--- a/server/services.go
+++ b/server/services.go
@@ -29,7 +29,7 @@
 // keyHeader is the request header with the idempotency key.
 const keyHeader = "Idempotency-Key"
 
-// service handles a call of a plain service.
+// service handles a call of a plain service, which is an HTTP service that runs no model.
 func (s *Server) service(k *call) error {
 	svc := k.index.services[k.serviceName]
 	if svc == nil {
@@ -69,14 +69,16 @@
 // serviceCall is the state of one call of a plain service.
 type serviceCall struct {
 	*call
-	svc         *builder.Service
-	decl        builder.Call
+	svc  *builder.Service
+	decl builder.Call
+	// fingerprint is the hash of the request, equal for repeats of it.
 	fingerprint uint64
-	avoid       []string
-	attempts    int
+	// avoid holds the instances on which an attempt failed, attempts the number of attempts so far.
+	avoid    []string
+	attempts int
 }
 
-// group returns the admission queue of the call's service.
+// group returns the name of the admission queue of the call's service.
 func (p *serviceCall) group() string { return "service/" + p.svc.Name }
 
 // acquire waits for an instance. The attempt ID differs for each attempt, so that the end of one
@@ -224,9 +226,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// dispatch sends a call that may not be repeated. It tries another instance only while no byte
-// was sent. sent reports whether an instance may have started the call, known whether out is its
-// outcome.
+// dispatch sends a call that may not be repeated. It tries another instance only while none can
+// have started the call: no connection was obtained, or the instance declined. sent reports whether
+// an instance may have started the call, known whether out is its outcome.
 func (p *serviceCall) dispatch(ctx context.Context, key string) (out deduplicator.Outcome, sent, known bool) {
 	for p.attempts < serviceAttempts {
 		instance, attemptID, err := p.acquire(ctx)
