--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -87,11 +87,11 @@
 	PerContextMs  float64 `json:"perContextMs"`
 	// ReadPerSecond is the number of prompt tokens processed per second.
 	ReadPerSecond float64 `json:"readPerSecond"`
-	// ActivationBytes is the size of the activations of one token, which cross each link of a
-	// path.
+	// ActivationBytes is the size in bytes of the activations of one token, which cross each link
+	// of a path.
 	ActivationBytes float64 `json:"activationBytes"`
 	// PipeMbps is the shared bandwidth between two data centres, LinkMbps the bandwidth of one
-	// upstream.
+	// upstream, both in Mbit/s.
 	PipeMbps float64 `json:"pipeMbps"`
 	LinkMbps float64 `json:"linkMbps"`
 	// LoadTime is the time to load the whole model.
@@ -111,7 +111,7 @@
 // Card describes one kind of accelerator.
 type Card struct {
 	Name string `json:"name"`
-	// MB is the memory for layers and requests.
+	// MB is the memory for layers and requests, in MB.
 	MB float64 `json:"mb"`
 	// StepTimeFactor multiplies the time of a step, ReadTimeFactor the time to process a prompt.
 	StepTimeFactor float64 `json:"pace"`
