--- a/cmd/sardineward/devforward.go
+++ b/cmd/sardineward/devforward.go
@@ -85,7 +85,8 @@
 // devControl returns the handler that injects faults into the next requests of upstreams, and
 // revokes the key.
 func devControl(source *faker.Directory, stages map[string]*faker.Stage) http.Handler {
-	// A request that is turned away is retried three times, so four faults refuse it for good.
+	// A request that an upstream declines as overloaded is retried three times, so after four
+	// faults the host refuses it.
 	full := slices.Repeat([]faker.StageFault{faker.StageFaultOverloaded}, 4)
 	faultsByPath := map[string][]faker.StageFault{"/cut": {faker.StageFaultBrokenStream}, "/reset": {faker.StageFaultReset}, "/full": full}
 	mux := http.NewServeMux()
