--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -269,7 +269,7 @@
 	return at
 }
 
-// checkLimits reports upstreams that got more requests than the limit that they named allows, from
+// checkLimits reports upstreams that got more requests than the limit that they report allows, from
 // hosts that knew the limit and were connected all the while.
 func (h *history) checkLimits(cl *cluster, report func(string, ...any)) {
 	hosts := make(map[string]int, len(h.calls))
--- a/soaker/doc.go
+++ b/soaker/doc.go
@@ -8,7 +8,7 @@
 //   - a host never goes back to an older configuration;
 //   - a revoked key runs nothing;
 //   - an upstream that leaves gets no new requests;
-//   - an upstream gets no more requests than the limit that it names;
+//   - an upstream gets no more requests than the limit that it reports;
 //   - no upstream sees a caller's key;
 //   - a planned stop breaks no request.
 //
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -442,7 +442,7 @@
 	u.stage.SetFaults(next...)
 }
 
-// limitUpstream makes a random upstream name a low limit on the rate of requests from all hosts
+// limitUpstream makes a random upstream report a low limit on the rate of requests from all hosts
 // together, for a while.
 func limitUpstream(r *Run, rnd *rand.Rand, _ int, lasts time.Duration) {
 	u := r.cluster.upstreams[rnd.IntN(len(r.cluster.upstreams))]
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -32,7 +32,7 @@
 	cmd *exec.Cmd
 	// done is closed when the current process has ended.
 	done chan struct{}
-	// claimed is set while a fault of the process is under way.
+	// claimed is set while one fault of the process lasts; no second one starts meanwhile.
 	claimed bool
 }
 
@@ -71,10 +71,9 @@
 	dataCentre = "here"
 	// serviceHost is the Host header of all requests.
 	serviceHost = "desk.example"
-	// revokeTimeout is the time after its revocation within which a key may still be accepted.
+	// revokeTimeout is how long a key may still be accepted after it was revoked.
 	revokeTimeout = 5 * time.Second
-	// leaveTimeout is the time after it begins to leave within which an upstream may still get
-	// new requests.
+	// leaveTimeout is how long an upstream may still get new requests after it began to leave.
 	leaveTimeout = 2 * time.Second
 	// keyCount is the number of keys at the start.
 	keyCount = 40
@@ -94,7 +93,8 @@
 }
 
 // A run takes at most portsPerRun ports. Runs of different seeds may run in parallel, so each takes
-// one of portBlocks blocks; all lie below the ephemeral ports of outgoing connections.
+// one of portBlocks blocks from firstPort on; all lie below the ephemeral ports of outgoing
+// connections.
 const (
 	portsPerRun = 60
 	firstPort   = 10000
