--- a/prober/prober.go
+++ b/prober/prober.go
@@ -141,7 +141,8 @@
 }
 
 // targets returns the upstreams that this host owns, and those that it alone considers down or
-// suspect: the owners of those reach them, so they never announce that they answer again.
+// suspect. The owners of the latter can reach them, so no owner announces that they answer again,
+// and this host has to find out by its own probes.
 func (p *Prober) targets() []builder.Upstream {
 	out := p.owned()
 	for _, name := range p.Tracker.SuspectedLocally() {
