--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -87,17 +87,18 @@
 	IsReader func() bool
 	// Apply is called with each configuration that is put in force, in order of revisions.
 	Apply func(revision int64, cfg *builder.Configuration)
-	// Period is the interval between retries, and the longest time between two reads of the
-	// platform.
+	// Period is the interval between retries. A watch of the platform that sees no change is
+	// renewed after ten periods.
 	Period  time.Duration
 	Checker *checker.Checker
 	Log     zerolog.Logger
 
 	revision atomic.Int64
 	// target is the highest known revision.
-	target  atomic.Int64
-	wake    chan struct{}
-	mu      sync.Mutex
+	target atomic.Int64
+	wake   chan struct{}
+	mu     sync.Mutex
+	// head and parts are the stored form of current, parts by hash.
 	head    []byte
 	parts   map[string][]byte
 	current *builder.Configuration
@@ -170,14 +171,15 @@
 		}
 		var err error
 		if after, err = w.watchHead(ctx, after); err != nil {
-			w.Log.Debug().Err(err).Msg("watcher: reading the head from the platform failed")
+			w.Log.Debug().Err(err).Msg("watcher: updating the configuration from the platform failed")
 			sleep(ctx, w.Period)
 		}
 	}
 }
 
-// watchHead waits for the head to change. A watch without a change ends after watchPeriods, so
-// that a host that is no longer a reader stops watching.
+// watchHead waits until the head's entry in the platform has a revision above after, applies the
+// head, and returns that revision. A watch without a change ends after watchPeriods, so that a host
+// that is no longer a reader stops watching.
 func (w *Watcher) watchHead(ctx context.Context, after int64) (int64, error) {
 	const watchPeriods = 10
 	watchCtx, cancel := context.WithTimeout(ctx, watchPeriods*w.Period)
