--- a/meter/meter.go
+++ b/meter/meter.go
@@ -19,8 +19,9 @@
 	Refusals, Retries *prometheus.CounterVec
 	// Requests counts requests answered in full, by workspace and kind.
 	Requests *prometheus.CounterVec
-	// FirstToken is the time to the first token of a generation, TokenGap the time between two
-	// tokens of a generation, sampled; both in seconds.
+	// FirstToken is the time to the first token of a generation, TokenGap the time between its
+	// tokens, with one sample for each generation: the mean gap, or the longest gap on a host that
+	// forwards by a route table. Both are in seconds.
 	FirstToken, TokenGap prometheus.Histogram
 	// LimitsUnreadable counts upstreams' responses with a limit that can't be parsed.
 	LimitsUnreadable prometheus.Counter
