--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -56,12 +56,12 @@
 // dropped.
 func TestStagePaused(t *testing.T) {
 	runCluster(t, 11, func(b *cluster) {
-		var frozen *faker.Engine
+		var paused *faker.Engine
 		b.assertFaultTolerated(func(e *faker.Engine) {
-			frozen = e
+			paused = e
 			e.Pause()
 		})
-		frozen.Resume()
+		paused.Resume()
 	})
 }
 
