--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -51,9 +51,8 @@
 	})
 }
 
-// TestStagePaused guards against streams that wait on a paused stage until their deadline. They
-// move after a silence of two expected gaps, and frames that the stage sends after it resumes are
-// dropped.
+// TestStagePaused guards against streams that wait on a paused stage until their deadline: they move
+// after a silence of two expected gaps, and frames that it sends after it resumes are dropped.
 func TestStagePaused(t *testing.T) {
 	runCluster(t, 11, func(b *cluster) {
 		var paused *faker.Engine
--- a/runner/leaving_test.go
+++ b/runner/leaving_test.go
@@ -63,9 +63,8 @@
 	})
 }
 
-// TestLeavingGossipCut checks an engine that leaves while hosts can't gossip and the host list is
-// a minute late: each host learns it from the engine's refusal, at the cost of one request not
-// run.
+// TestLeavingGossipCut checks an engine that leaves while gossip is cut and the host list a minute
+// late: each host learns it from the engine's refusal, at the cost of one request not run.
 func TestLeavingGossipCut(t *testing.T) {
 	runCluster(t, 33, func(b *cluster) {
 		b.environment.HostList.Delay = time.Minute
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -21,8 +21,7 @@
 )
 
 // TestRandom injects random faults, also several at once, under a load of generations and
-// bookings, and checks every answer. Violated invariants of the hosts fail it too. The long run
-// is
+// bookings, and checks every answer. Violated invariants of the hosts fail it too. Longer run:
 //
 //	go test ./runner -run TestRandom -seeds 100 -minutes 15 -timeout 60m
 func TestRandom(t *testing.T) {
--- a/runner/refusal_test.go
+++ b/runner/refusal_test.go
@@ -135,9 +135,8 @@
 	})
 }
 
-// TestPoison guards against a repeated request that crashes one engine after another. It is
-// refused everywhere after two crashes, three if other requests were in flight at both; the rest
-// is answered.
+// TestPoison guards against a repeated request that crashes engine after engine: every host refuses
+// it after two crashes, three if others were in flight at both. The others are answered.
 func TestPoison(t *testing.T) {
 	runCluster(t, 47, func(b *cluster) {
 		stop := b.generateLoad(2, 30, func(r reply) {
