--- a/runner/layers_test.go
+++ b/runner/layers_test.go
@@ -16,7 +16,7 @@
 // busiest returns the engine that runs the most sequences.
 func (b *cluster) busiest() *faker.Engine {
 	var best *faker.Engine
-	for _, e := range b.world.Fleet.Engines() {
+	for _, e := range b.environment.Fleet.Engines() {
 		if best == nil || e.Running() > best.Running() {
 			best = e
 		}
@@ -43,25 +43,24 @@
 	wg.Wait()
 }
 
-// TestStageKilled guards against streams that break when a stage dies: each must go on with the
-// next token on another route.
+// TestStageKilled guards against streams that break when a stage is killed: each must continue with
+// the next token on another route.
 func TestStageKilled(t *testing.T) {
 	runCluster(t, 10, func(b *cluster) {
-		b.assertFaultTolerated(func(e *faker.Engine) { b.world.Kill(e.Upstream.Name) })
+		b.assertFaultTolerated(func(e *faker.Engine) { b.environment.Kill(e.Upstream.Name) })
 	})
 }
 
-// TestStagePaused guards against streams that wait on a frozen stage until their deadline. They
-// move after a silence of two expected gaps, and frames that the stage sends after it resumes are
-// dropped.
+// TestStagePaused guards against streams that wait on a paused stage until their deadline: they move
+// after a silence of two expected gaps, and frames that it sends after it resumes are dropped.
 func TestStagePaused(t *testing.T) {
 	runCluster(t, 11, func(b *cluster) {
-		var frozen *faker.Engine
+		var paused *faker.Engine
 		b.assertFaultTolerated(func(e *faker.Engine) {
-			frozen = e
+			paused = e
 			e.Pause()
 		})
-		frozen.Resume()
+		paused.Resume()
 	})
 }
 
@@ -86,7 +85,7 @@
 // take longer or move, and stay complete.
 func TestSlowLink(t *testing.T) {
 	runCluster(t, 14, func(b *cluster) {
-		b.assertFaultTolerated(func(*faker.Engine) { b.world.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
+		b.assertFaultTolerated(func(*faker.Engine) { b.environment.Fleet.SetExtraLatency("north", "port", 80*time.Millisecond) })
 	})
 }
 
@@ -94,9 +93,9 @@
 func TestDataCentreLost(t *testing.T) {
 	runCluster(t, 15, func(b *cluster) {
 		b.assertFaultTolerated(func(*faker.Engine) {
-			for _, e := range b.world.Fleet.Engines() {
+			for _, e := range b.environment.Fleet.Engines() {
 				if e.Upstream.DataCentre == "port" {
-					b.world.Kill(e.Upstream.Name)
+					b.environment.Kill(e.Upstream.Name)
 				}
 			}
 		})
--- a/server/server.go
+++ b/server/server.go
@@ -1,8 +1,8 @@
 // Package server answers callers over HTTP.
 //
 // It authenticates, reads and validates requests, and hands them to streamer (generations) or to
-// the instances of a plain service, through deduplicator when a call may not be repeated. All
-// refusals are sent by one function.
+// the instances of a plain service, which is an HTTP service that runs no model. A call that may not
+// be repeated goes through deduplicator. All refusals are sent by one function.
 package server
 
 import (
@@ -32,6 +32,7 @@
 
 // Server answers callers. The exported fields are set before Handler.
 type Server struct {
+	// Host is this host's name; request IDs begin with it.
 	Host         string
 	Limits       *loader.Limits
 	Router       *router.Router
@@ -125,7 +126,7 @@
 	index     *configIndex
 	deadline  time.Time
 	body      []byte
-	witness   *checker.ExecutionTracker
+	execution *checker.ExecutionTracker
 	// started is set once an upstream may have started the request.
 	started bool
 	// serviceName and path are those of a plain service; path is the part after the service's
@@ -143,14 +144,14 @@
 		s.inFlight.Add(1)
 		defer s.openRequests.Done()
 		defer s.inFlight.Add(-1)
-		ctx, witness := checker.WithExecutionTracker(c.Request().Context())
+		ctx, execution := checker.WithExecutionTracker(c.Request().Context())
 		k := &call{
 			Server:      s,
 			w:           c.Response().Writer,
 			r:           c.Request().WithContext(ctx),
 			ctl:         http.NewResponseController(c.Response().Writer),
 			id:          s.requestID(),
-			witness:     witness,
+			execution:   execution,
 			serviceName: c.Param("service"),
 			path:        "/" + c.Param("*"),
 		}
@@ -255,7 +256,7 @@
 
 // refuse sends the refusal of a request, as an event when the stream has begun.
 func (k *call) refuse(err error) {
-	out := k.Router.Refuse(k.id, err, k.started, k.witness)
+	out := k.Router.Refuse(k.id, err, k.started, k.execution)
 	body := ErrorBody{ErrorDetail{
 		Code:       statusOf(out.Reason),
 		Reason:     out.Reason.String(),
@@ -321,6 +322,6 @@
 
 // handleUnrouted refuses requests that match no route.
 func (s *Server) handleUnrouted(err error, c echo.Context) {
-	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), witness: new(checker.ExecutionTracker)}
+	k := &call{Server: s, w: c.Response().Writer, r: c.Request(), ctl: http.NewResponseController(c.Response().Writer), id: s.requestID(), execution: new(checker.ExecutionTracker)}
 	k.refuse(refusal(admitter.ReasonUnknown, err.Error()))
 }
