--- a/builder/builder.go
+++ b/builder/builder.go
@@ -80,7 +80,7 @@
 	c.Workspaces = sortedBy(c.Workspaces, func(w Workspace) string { return w.Name })
 	out, err := json.MarshalIndent(&c, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("encoding configuration: %w", err)
+		return nil, fmt.Errorf("printing configuration: %w", err)
 	}
 	return append(out, '\n'), nil
 }
--- a/builder/builder_test.go
+++ b/builder/builder_test.go
@@ -62,7 +62,7 @@
 "upstreams": [{"name": "u", "address": "nowhere", "dataCentre": "x", "model": "n"}],
 "pipelines": [{"name": "p", "model": "m", "upstreams": ["v"]}],
 "workspaces": [{"name": "w", "pipelines": ["q"]}, {"name": "w"}]}`, []string{
-			`c:2:40: want IP:port, have "nowhere"`, `unknown model "n"`, `unknown upstream "v"`, "no upstream runs layer 0 of m", `unknown pipeline "q"`, `"w" is declared twice`,
+			`c:2:40: want IP:port, have "nowhere"`, `unknown model "n"`, `unknown upstream "v"`, "no upstream runs layer 0 of m", `unknown pipeline "q"`, `"w" stands twice`,
 		}},
 		{"a gap in the layers", `{"models": [{"name": "m", "version": "1", "layers": 8}], "accelerators": [{"name": "k", "stepMs": 1, "layerMs": 1, "batch": 1, "layers": 3}],
 "upstreams": [{"name": "a", "address": "10.0.0.1:1", "dataCentre": "x", "model": "m", "accelerator": "k", "firstLayer": 0, "lastLayer": 3},
--- a/builder/check.go
+++ b/builder/check.go
@@ -43,7 +43,7 @@
 		checkNames(r, workspacePointer+"/services", "service", w.Services, services)
 		for n, h := range w.KeyHashes {
 			if other, ok := keys[h]; ok {
-				r.addFinding(fmt.Sprintf("%s/keyHashes/%d", workspacePointer, n), "key already belongs to workspace %q", other)
+				r.addFinding(fmt.Sprintf("%s/keyHashes/%d", workspacePointer, n), "key already names workspace %q", other)
 			}
 			keys[h] = w.Name
 		}
@@ -60,7 +60,7 @@
 	for i, item := range list {
 		itemName := name(item)
 		if _, ok := out[itemName]; ok {
-			r.addFinding(fmt.Sprintf("/%s/%d", group, i), "%q is declared twice in %s", itemName, group)
+			r.addFinding(fmt.Sprintf("/%s/%d", group, i), "%q stands twice in %s", itemName, group)
 		}
 		out[itemName] = item
 	}
--- a/faker/world.go
+++ b/faker/world.go
@@ -74,7 +74,7 @@
 	}
 	kill, err := Serve(w.Listen, address, h)
 	if err != nil {
-		return fmt.Errorf("serving %q: %w", name, err)
+		return fmt.Errorf("serving %s: %w", name, err)
 	}
 	w.killFuncs[name] = kill
 	return nil
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	return fmt.Errorf("upstream %q does not exist", name)
+	return fmt.Errorf("no upstream %s", name)
 }
 
 // Close kills all engines and closes all servers.
@@ -158,7 +158,7 @@
 	}
 	e := w.Fleet.Engine(name)
 	if e == nil {
-		return fmt.Errorf("engine %q does not exist", name)
+		return fmt.Errorf("no engine %s", name)
 	}
 	switch action {
 	case "pause":
@@ -168,7 +168,7 @@
 	case "leave":
 		e.Leave()
 	default:
-		return fmt.Errorf("unknown action %q, expected kill, restart, pause, resume or leave", action)
+		return fmt.Errorf("can't %s", action)
 	}
 	return nil
 }
--- a/runner/build.go
+++ b/runner/build.go
@@ -294,7 +294,7 @@
 	return 0
 }
 
-var errNoPeer = errors.New("runner: no peer returned the configuration")
+var errNoPeer = errors.New("runner: no peer could be asked")
 
 func (h *Host) callerTLS() (*tls.Config, error) {
 	return serverTLS(h.Settings.TLS.CallerCertificate, h.Settings.TLS.CallerKey)
--- a/runner/news.go
+++ b/runner/news.go
@@ -110,7 +110,7 @@
 func (a claimQuerier) QueryClaim(ctx context.Context, rec deduplicator.Record) (running, abandoned bool, err error) {
 	c := a.gossip.ClientAt(rec.Host, rec.Address)
 	if c == nil {
-		return false, false, fmt.Errorf("host %q is no longer known", rec.Host)
+		return false, false, fmt.Errorf("host %s is gone", rec.Host)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/storer/client.go
+++ b/storer/client.go
@@ -120,7 +120,7 @@
 	c.calls.Add(1)
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, fmt.Errorf("encoding request for %q: %w", method, err)
+		return nil, fmt.Errorf("encoding %s: %w", method, err)
 	}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -128,7 +128,7 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Address+"/v1/kv/"+method, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("creating request for %q: %w", method, err)
+		return nil, fmt.Errorf("making %s: %w", method, err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
@@ -172,7 +172,7 @@
 	case statusUnavailable:
 		return ErrUnavailable
 	default:
-		return fmt.Errorf("%w: unexpected status %d", ErrUncertain, status)
+		return fmt.Errorf("%w: status %d", ErrUncertain, status)
 	}
 }
 
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -20,9 +20,9 @@
 	ErrUnavailable = errors.New("storer: service unavailable")
 	// ErrUncertain means that the call was sent and its response lost: it may have taken effect,
 	// or may still do so.
-	ErrUncertain = errors.New("storer: response lost, outcome unknown")
+	ErrUncertain = errors.New("storer: answer lost")
 	// ErrLease means that the lease does not exist any more.
-	ErrLease = errors.New("storer: lease expired")
+	ErrLease = errors.New("storer: lease lapsed")
 	// ErrTooLarge means that the value has more than MaxValueBytes bytes.
 	ErrTooLarge = errors.New("storer: value too large")
 )
--- a/streamer/client.go
+++ b/streamer/client.go
@@ -80,7 +80,7 @@
 	defer resp.Body.Close()
 	e := new(EngineError)
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxFrameBytes)).Decode(e); err != nil {
-		return fmt.Errorf("engine responded with status %d and no valid error", resp.StatusCode)
+		return fmt.Errorf("engine answered status %d", resp.StatusCode)
 	}
 	if e.NotRun {
 		checker.RecordDeclined(ctx)
@@ -148,11 +148,11 @@
 		return fmt.Errorf("decoding frame: %w", err)
 	}
 	if f.Index < 0 || f.Attempt < 1 {
-		return fmt.Errorf("decoding frame: index %d (want >= 0) or attempt %d (want >= 1)", f.Index, f.Attempt)
+		return fmt.Errorf("decoding frame: index %d of attempt %d", f.Index, f.Attempt)
 	}
 	for _, s := range f.Spans {
 		if s.First < 0 || s.Last < s.First {
-			return fmt.Errorf("decoding frame: span from layer %d to %d is not a range", s.First, s.Last)
+			return fmt.Errorf("decoding frame: span %d to %d", s.First, s.Last)
 		}
 	}
 	return nil
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -66,7 +66,7 @@
 // validate returns an error when a decoded head is unusable.
 func (h *Head) validate() error {
 	if h.Revision < 1 || len(h.Parts) == 0 {
-		return fmt.Errorf("invalid head: revision %d with %d parts, want at least 1 of each", h.Revision, len(h.Parts))
+		return fmt.Errorf("head of revision %d with %d parts", h.Revision, len(h.Parts))
 	}
 	return nil
 }
@@ -261,7 +261,7 @@
 			return nil, fmt.Errorf("reading part %s: %w", h, err)
 		}
 		if hashPart(p) != h {
-			return nil, fmt.Errorf("part %s does not match its hash", h)
+			return nil, fmt.Errorf("part %s has another hash", h)
 		}
 		parts[h] = p
 	}
@@ -481,7 +481,7 @@
 		return nil, err
 	}
 	if len(text) > maxTextBytes {
-		return nil, fmt.Errorf("part expands to more than %d bytes", maxTextBytes)
+		return nil, fmt.Errorf("part is above %d bytes", maxTextBytes)
 	}
 	return append(whole, text...), nil
 }
